--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/EndpointStart.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/EndpointStart.java
@@ -54,8 +54,9 @@
 	}
 
 	/**
-	 * Replaces the implicit method of records, which goes through method handles that the daemon's JIT compiler (C1) doesn't inline. Starts are keys of maps that each placement
-	 * reads for each endpoint and peer.
+	 * Replaces the implicit method of records, which goes through method handles that the
+	 * daemon's JIT compiler (C1) doesn't inline. Starts are keys of maps that each
+	 * placement reads for each endpoint and peer.
 	 */
 	@Override
 	public boolean equals(Object other) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/FleetPresence.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/FleetPresence.java
@@ -64,7 +64,7 @@
 
 	@Override
 	public Optional<LeavingTold> gist() {
-		return message(this.backends.leaving()
+		return toMessage(this.backends.leaving()
 			.stream()
 			.limit(MAX_REPEATED)
 			.map((backend) -> backend.start().toString())
@@ -75,10 +75,10 @@
 	public Optional<LeavingTold> heard(Incarnation from, LeavingTold message) {
 		List<String> endpoints = new ArrayList<>((message.endpoints() != null) ? message.endpoints() : List.of());
 		endpoints.removeIf((endpoint) -> !this.backends.markLeaving(EndpointStart.parse(endpoint), from));
-		return message(endpoints);
+		return toMessage(endpoints);
 	}
 
-	private static Optional<LeavingTold> message(List<String> endpoints) {
+	private static Optional<LeavingTold> toMessage(List<String> endpoints) {
 		return endpoints.isEmpty() ? Optional.empty() : Optional.of(new LeavingTold(endpoints));
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashDetector.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashDetector.java
@@ -119,8 +119,8 @@
 		if (current != null && sentAt - current.failedAt > 0) {
 			this.failedConnections.remove(endpoint);
 		}
-		Long endedAt = this.crashedAt.get(endpoint);
-		if (endedAt != null && sentAt - endedAt > 0) {
+		Long crashTime = this.crashedAt.get(endpoint);
+		if (crashTime != null && sentAt - crashTime > 0) {
 			this.crashedAt.remove(endpoint);
 			this.listener.foundAlive(endpoint);
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/FleetLimits.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/FleetLimits.java
@@ -107,7 +107,7 @@
 	@Override
 	public Optional<LimitsTold> gist() {
 		this.registry.expire();
-		return message(this.registry.newest(MAX_REPEATED));
+		return toMessage(this.registry.newest(MAX_REPEATED));
 	}
 
 	@Override
@@ -122,10 +122,10 @@
 				updated.add(limit);
 			}
 		}
-		return message(updated);
+		return toMessage(updated);
 	}
 
-	private static Optional<LimitsTold> message(List<LimitsTold.Limit> limits) {
+	private static Optional<LimitsTold> toMessage(List<LimitsTold.Limit> limits) {
 		return limits.isEmpty() ? Optional.empty() : Optional.of(new LimitsTold(limits));
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/BackendHealthTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/BackendHealthTests.java
@@ -22,11 +22,11 @@
 
 	@ParameterizedTest
 	@CsvSource({ "1, 300", "2, 600", "3, 1200", "4, 2400", "9, 2400" })
-	void backoffOfUnreachableEndpointGrowsEachTime(int times, long restMillis) {
+	void backoffOfUnreachableEndpointGrowsEachTime(int times, long backoffMillis) {
 		for (int i = 0; i < times; i++) {
 			this.health.unreachable(ID, "connect");
 		}
-		this.scheduler.advance(Duration.ofMillis(restMillis - 1));
+		this.scheduler.advance(Duration.ofMillis(backoffMillis - 1));
 		Truth.assertThat(this.health.avoid(ID)).isTrue();
 		this.scheduler.advance(Duration.ofMillis(2));
 		Truth.assertThat(this.health.avoid(ID)).isFalse();
@@ -34,8 +34,9 @@
 
 	@Test
 	void anEndpointThatFailsRequestsIsAvoidedForAWhile() {
-		// Symptom: half of the bookings fail though every health answer is good.
-		// Sequence: one endpoint of three fails what it gets. Cause: it looks least busy.
+		// Guards against sending most requests to an endpoint that fails them. Seen with
+		// three endpoints: half of the bookings failed although every health check
+		// succeeded, because the failing endpoint always looked least busy.
 		this.health.failed(ID);
 		Truth.assertThat(this.health.avoid(ID)).isFalse();
 		this.health.failed(ID);
@@ -52,7 +53,10 @@
 		Truth.assertThat(this.health.avoid(ID)).isFalse();
 	}
 
-	/** Guards against an asked rest that an older answer or a lapsed entry cuts short. */
+	/**
+	 * Guards against a requested back-off that an older answer or a lapsed entry cuts
+	 * short.
+	 */
 	@Test
 	void requestedBackoffIsNotCutShortByLaterEvents() {
 		this.health.asksForRest(ID, Duration.ofSeconds(3));
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/BackendTableTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/BackendTableTests.java
@@ -27,15 +27,15 @@
 
 	@ParameterizedTest
 	@CsvSource({ "false, 0, 0", "true, 1900, 1", "true, 2000, 0" })
-	void removalsTakeEffectAtOnceUnlessTheStoreWasUnavailable(boolean afterOutage, long millis, int left) {
-		// Symptom: after an outage of the store no endpoint is known for two seconds.
-		// Sequence: the store is silent, entries lapse, the store returns and lists none.
-		// Cause: living endpoints need up to two seconds to write their entries again.
+	void removalsTakeEffectAtOnceUnlessTheStoreWasUnavailable(boolean afterOutage, long millis, int usable) {
+		// Guards against having no known endpoint for two seconds after an outage of the
+		// store: entries lapse during the outage, so the recovered store lists none,
+		// and live endpoints need up to two seconds to write their entries again.
 		this.table.put(backend("a", false));
 		this.table.remove(new EndpointId("a"), afterOutage);
 		this.scheduler.advance(Duration.ofMillis(millis));
 		this.table.expire();
-		Truth.assertThat(this.table.usable(SERVICE)).hasSize(left);
+		Truth.assertThat(this.table.usable(SERVICE)).hasSize(usable);
 	}
 
 	@Test
@@ -58,7 +58,7 @@
 		Truth.assertThat(this.table.all()).isEmpty();
 	}
 
-	/** Guards against a list that is behind and brings an endpoint back that leaves. */
+	/** Guards against a stale list that makes a leaving endpoint usable again. */
 	@Test
 	void leavingEndpointStaysDrainingWhateverItsEntrySays() {
 		Backend ready = started("a", 1_000);
@@ -93,17 +93,15 @@
 
 	@ParameterizedTest
 	@CsvSource({ "3, 0, 3", "3, 1, 3", "1, 2, 3", "0, 3, 3" })
-	void entriesWithoutStartTimeAreLeftOutWhereMostHaveOne(int told, int untold, int usable) {
-		// Symptom: requests go to an address at which no endpoint of the platform
-		// listens.
-		// Sequence: another program writes an entry that lacks only the time of its
-		// start.
-		// Cause: it is taken for one of an older platform, which doesn't tell it.
-		for (int i = 0; i < told; i++) {
-			this.table.put(started("told-" + i, 1_000));
+	void entriesWithoutStartTimeAreLeftOutWhereMostHaveOne(int withStart, int withoutStart, int usable) {
+		// Guards against sending requests to an address at which no endpoint of the
+		// platform listens: an entry written by another program lacks only the start
+		// time, and was taken for one of an older platform, which provides none.
+		for (int i = 0; i < withStart; i++) {
+			this.table.put(started("with-start-" + i, 1_000));
 		}
-		for (int i = 0; i < untold; i++) {
-			this.table.put(backend("untold-" + i, false));
+		for (int i = 0; i < withoutStart; i++) {
+			this.table.put(backend("without-start-" + i, false));
 		}
 		Truth.assertThat(this.table.usable(SERVICE)).hasSize(usable);
 	}
@@ -119,8 +117,8 @@
 		Truth.assertThat(this.table.startedAgain(first)).isFalse();
 	}
 
-	private static Backend started(String id, long bornMillis) {
-		return new Backend(new EndpointStart(new EndpointId(id), bornMillis), SERVICE,
+	private static Backend started(String id, long startMillis) {
+		return new Backend(new EndpointStart(new EndpointId(id), startMillis), SERVICE,
 				HostAndPort.fromParts("10.0.0.1", 80), new DataCentre("east"), 4, false);
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/LeavingEndpointTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/LeavingEndpointTests.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests of what daemons send to endpoints that said in an answer that they leave, while
- * their entries say otherwise.
+ * Tests that daemons send no requests to endpoints that have announced in an answer that
+ * they are leaving, while their entries say otherwise.
  */
 class LeavingEndpointTests {
 
@@ -21,7 +21,7 @@
 
 	private static final long END = 30_000;
 
-	/** Guards against a leaving that only the store's list tells. */
+	/** Guards against learning of a leaving endpoint only from the store's list. */
 	@ParameterizedTest
 	@CsvSource({ "1, 60, 0, 0, 1", "9, 25, 0, 0, 2", "9, 60, 3000, 0, 3", "9, 60, 0, 700, 4", "9, 60, 1500, 700, 5",
 			"24, 120, 0, 1000, 6", "100, 150, 0, 0, 7", "300, 300, 200, 900, 8" })
@@ -44,7 +44,7 @@
 		Truth.assertThat(leaving.arrivalsAfterLeaving()).isEqualTo(0);
 	}
 
-	/** Guards against daemons that each find out with a request that may be cut off. */
+	/** Guards against daemons that each find out by a request that may be cut off. */
 	@ParameterizedTest
 	@CsvSource({ "9, 60, 1", "24, 120, 2", "100, 150, 3", "300, 300, 4" })
 	void noticeToOneDaemonReachesAll(int daemons, int callsPerSecond, long seed) {
@@ -57,7 +57,9 @@
 		Truth.assertThat(leaving.arrivalCount(2_000, END)).isEqualTo(0);
 	}
 
-	/** Guards against a daemon that starts while the others know, and isn't told. */
+	/**
+	 * Guards against a daemon that restarts and isn't notified of what the others know.
+	 */
 	@ParameterizedTest
 	@CsvSource({ "9, 60, 1", "100, 150, 2" })
 	void restartedDaemonLearnsOfLeavingEndpoint(int daemons, int callsPerSecond, long seed) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/RequestedBackoffTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/RequestedBackoffTests.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests of what daemons send to endpoints that turn them away and ask for rest.
+ * Tests that daemons respect the back-off that endpoints request when they reject
+ * requests.
  */
 class RequestedBackoffTests {
 
@@ -26,25 +27,26 @@
 
 	private static final long END = 30_000;
 
-	/** Guards against a rest that is shorter than the endpoint asked for. */
+	/** Guards against a back-off that is shorter than the endpoint requested. */
 	@ParameterizedTest
 	@CsvSource({ "1, 60, 1, 3000, 0, 1", "9, 60, 2, 3000, 0, 2", "9, 120, 3, 800, 0, 3", "9, 120, 13, 3000, 0, 4",
 			"9, 120, 14, 3000, 0, 5", "24, 150, 2, 6500, 0, 6", "9, 60, 2, 3000, 3000, 7", "100, 300, 4, 20000, 0, 8",
 			"300, 600, 14, 9000, 200, 9" })
-	void endpointThatAskedForBackoffIsNotSentRequests(int daemons, int callsPerSecond, int resting, long restMillis,
-			long restartMillis, long seed) {
+	void endpointThatAskedForBackoffIsNotSentRequests(int daemons, int callsPerSecond, int rejecting,
+			long backoffMillis, long restartMillis, long seed) {
 		GatewayFleet fleet = new GatewayFleet(daemons, ENDPOINTS, seed);
 		List<SimulatedEndpoint> endpoints = new ArrayList<>();
-		for (int i = 0; i < resting; i++) {
+		for (int i = 0; i < rejecting; i++) {
 			endpoints.add(fleet.endpoint(i));
 		}
-		run(fleet, callsPerSecond, endpoints, Duration.ofMillis(restMillis), restartMillis, seed);
+		run(fleet, callsPerSecond, endpoints, Duration.ofMillis(backoffMillis), restartMillis, seed);
 		Truth.assertThat(endpoints.stream().mapToInt(SimulatedEndpoint::daemonsAskedToBackOff).sum()).isGreaterThan(0);
 		Truth.assertThat(endpoints.stream().mapToInt(SimulatedEndpoint::violatedBackoffs).sum()).isEqualTo(0);
 	}
 
 	/**
-	 * Guards against callers who wait, or come back too early, while all endpoints rest.
+	 * Guards against callers that wait, or retry too early, while all endpoints have
+	 * requested a back-off.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "1, 30, 1", "9, 120, 2" })
@@ -61,7 +63,7 @@
 		Truth.assertThat(caller.retryAfter()).isAtMost(Duration.ofSeconds(60));
 	}
 
-	/** Guards against endpoints that are left alone after their rest. */
+	/** Guards against endpoints that are not used again after their back-off. */
 	@ParameterizedTest
 	@CsvSource({ "1, 60, 1", "9, 120, 2" })
 	void endpointIsUsedAgainAfterItsBackoff(int daemons, int callsPerSecond, long seed) {
@@ -72,12 +74,12 @@
 		Truth.assertThat(endpoint.arrivalCount(BACKOFF_END + 3_500, END)).isAtLeast(5);
 	}
 
-	private static void run(GatewayFleet fleet, int callsPerSecond, List<SimulatedEndpoint> endpoints, Duration rest,
+	private static void run(GatewayFleet fleet, int callsPerSecond, List<SimulatedEndpoint> endpoints, Duration backoff,
 			long restartMillis, long seed) {
 		fleet.run(END, callsPerSecond, new Random(seed), (now) -> {
 			if (now == BACKOFF_START || now == BACKOFF_END) {
-				Optional<Duration> wanted = (now == BACKOFF_START) ? Optional.of(rest) : Optional.empty();
-				endpoints.forEach((endpoint) -> endpoint.turnAway(wanted));
+				Optional<Duration> requested = (now == BACKOFF_START) ? Optional.of(backoff) : Optional.empty();
+				endpoints.forEach((endpoint) -> endpoint.turnAway(requested));
 			}
 			if (restartMillis > 0 && now % restartMillis == 0) {
 				fleet.restart((int) (now / restartMillis) % fleet.daemons.size());
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/catalog/CatalogTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/catalog/CatalogTests.java
@@ -48,11 +48,8 @@
 
 	@Test
 	void rejectsOlderDocument() {
-		// Symptom: a key that was taken away works again for a moment. Sequence: version
-		// 9
-		// is in force, then a peer sends version 8, which it held. Cause: the last
-		// document
-		// that arrives would win.
+		// Guards against a revoked key that works again for a moment: version 9 is in
+		// force when a peer sends version 8, and the last document to arrive would win.
 		CatalogHolder holder = new CatalogHolder();
 		Truth.assertThat(holder.offer(Catalog.builder(9).build())).isTrue();
 		Truth.assertThat(holder.offer(Catalog.builder(8).build())).isFalse();
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/catalog/EngineProfileTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/catalog/EngineProfileTests.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests of {@link EngineProfile} against times worked out by hand.
+ * Tests of {@link EngineProfile} against times calculated by hand.
  */
 class EngineProfileTests {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashFaultsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashFaultsTests.java
@@ -14,10 +14,11 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Drawn fleets, deadly requests and faults.
+ * Randomised tests of deadly requests, which crash the endpoints that run them, with
+ * random fleets and faults.
  *
  * <p>
- * More seeds by hand: {@code -Dcrash.seeds=1000}.
+ * {@code -Dcrash.seeds=1000} runs more seeds.
  */
 class CrashFaultsTests {
 
@@ -27,7 +28,10 @@
 		return LongStream.rangeClosed(1, Long.getLong("crash.seeds", 60));
 	}
 
-	/** Guards against any order of crashes, restarts, lost news and outages. */
+	/**
+	 * Guards against failures that depend on the order of crashes, restarts, lost
+	 * messages and outages.
+	 */
 	@ParameterizedTest
 	@MethodSource("seeds")
 	void deadlyRequestsReachFewEndpointsAndOthersAreNotSuspected(long seed) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashRegistryTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashRegistryTests.java
@@ -18,7 +18,7 @@
 
 	private final CrashRegistry registry = new CrashRegistry(this.scheduler);
 
-	/** Guards against memory that grows with requests which callers make up. */
+	/** Guards against unbounded memory use when callers send ever new requests. */
 	@Test
 	void evictsRequestsWithFewestCrashesWhenFull() {
 		for (int i = 0; i < CrashRegistry.TRIAL_THRESHOLD; i++) {
@@ -31,7 +31,7 @@
 		Truth.assertThat(this.registry.verdict(DEADLY, 0)).isEqualTo(Verdict.TRIAL);
 	}
 
-	/** Guards against bytes between daemons that never end after one crash. */
+	/** Guards against a crash that daemons repeat to each other forever. */
 	@Test
 	void stopsRepeatingACrashButRemembersIt() {
 		this.registry.crashed(DEADLY, endpoint(1));
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashingRequestTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashingRequestTests.java
@@ -14,20 +14,24 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests of what daemons do with a request that ends each endpoint which runs it.
+ * Tests that daemons stop a request that crashes each endpoint which runs it, and no
+ * other requests.
  */
 class CrashingRequestTests {
 
 	private static final String DEADLY = SimulatedEndpoint.DEADLY;
 
-	private static final String HARMLESS = "innocent";
+	private static final String HARMLESS = "harmless";
 
 	private static final int ENDPOINTS = 14;
 
-	/** Sendings that may follow once all daemons must know it. */
+	/**
+	 * Maximum number of arrivals of a request after all daemons must know that it crashes
+	 * endpoints.
+	 */
 	private static final int MAX_FURTHER_ARRIVALS = 3;
 
-	/** Guards against endpoints that end one after the other under one request. */
+	/** Guards against one request that crashes endpoints one after another. */
 	@ParameterizedTest
 	@CsvSource({ "1, 400, NONE, 1", "3, 400, NONE, 2", "9, 250, NONE, 3", "9, 700, NONE, 4", "9, 400, ONE_BY_ONE, 5",
 			"9, 400, ALL, 6", "100, 250, NONE, 7" })
@@ -49,7 +53,10 @@
 		Truth.assertThat(arrivals.stream().filter((millis) -> millis > known).count()).isAtMost(MAX_FURTHER_ARRIVALS);
 	}
 
-	/** Guards against a known request that callers wait for, or are asked to repeat. */
+	/**
+	 * Guards against a known crashing request that callers wait for or are asked to retry
+	 * soon.
+	 */
 	@Test
 	void knownCrashingRequestIsRefusedAtOnceWithLongRetryAfter() {
 		GatewayFleet fleet = new GatewayFleet(9, ENDPOINTS, 1);
@@ -65,7 +72,7 @@
 		Truth.assertThat(fleet.arrivals(DEADLY)).hasSize(arrived);
 	}
 
-	/** Guards against trials that nobody counts while the store is away. */
+	/** Guards against trials that aren't counted while the store is unavailable. */
 	@Test
 	void noTrialWhileTheStoreIsUnavailable() {
 		GatewayFleet fleet = new GatewayFleet(9, ENDPOINTS, 2);
@@ -79,17 +86,17 @@
 		Truth.assertThat(arrivals.stream().filter((millis) -> millis > known).count()).isEqualTo(0);
 	}
 
-	/** Guards against refusing a request because others ended its endpoints. */
+	/** Guards against refusing a request because other causes crashed its endpoints. */
 	@ParameterizedTest
 	@CsvSource({ "1, 1", "2, 1", "3, 1", "4, 1", "2, 9", "3, 9", "4, 9" })
-	void harmlessRequestIsServedAfterItsEndpointsCrashed(int falls, int daemons) {
-		GatewayFleet fleet = new GatewayFleet(daemons, ENDPOINTS, falls);
-		int fallen = 0;
-		for (int i = 0; fallen < falls; i++) {
+	void harmlessRequestIsServedAfterItsEndpointsCrashed(int crashes, int daemons) {
+		GatewayFleet fleet = new GatewayFleet(daemons, ENDPOINTS, crashes);
+		int crashed = 0;
+		for (int i = 0; crashed < crashes; i++) {
 			fleet.call(HARMLESS);
-			for (int step = 0; step < 20 && fallen < falls; step++) {
+			for (int step = 0; step < 20 && crashed < crashes; step++) {
 				fleet.scheduler.advance(Duration.ofMillis(30));
-				fallen += fleet.crashAllRunning(HARMLESS) ? 1 : 0;
+				crashed += fleet.crashAllRunning(HARMLESS) ? 1 : 0;
 			}
 			Truth.assertThat(i).isLessThan(20);
 		}
@@ -100,7 +107,7 @@
 		Truth.assertThat(fleet.store.all()).isEmpty();
 	}
 
-	/** Guards against refusing what many ask for while endpoints end one by one. */
+	/** Guards against refusing a popular request while endpoints crash one by one. */
 	@ParameterizedTest
 	@CsvSource({ "1, 1", "9, 2", "30, 3" })
 	void popularRequestIsServedDuringSeriesOfCrashes(int daemons, long seed) {
@@ -119,7 +126,7 @@
 		Truth.assertThat(callers.stream().filter(SimulatedCaller::suspected).count()).isEqualTo(0);
 	}
 
-	/** Guards against taking reset connections for endpoints that ended. */
+	/** Guards against taking connection resets for crashes. */
 	@Test
 	void connectionResetsAreNotCrashes() {
 		GatewayFleet fleet = new GatewayFleet(9, ENDPOINTS, 4);
@@ -138,7 +145,7 @@
 	}
 
 	/**
-	 * Which daemons start anew meanwhile.
+	 * The daemons that restart during a test.
 	 */
 	enum Restarts {
 
@@ -146,7 +153,7 @@
 
 			@Override
 			void at(int millis, GatewayFleet fleet) {
-				// All daemons stay.
+				// No daemon restarts.
 			}
 
 		},
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/GatewayFleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/GatewayFleet.java
@@ -20,13 +20,14 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * Daemons in front of the same endpoints, some of which end, on a manual clock.
+ * A simulated fleet of daemons in front of the same endpoints, some of which crash, on a
+ * manual clock.
  *
  * <p>
- * An endpoint that ends closes its connections and refuses new ones; after
- * {@link #DOWNTIME} another one listens at its address and turns its requests away, and
- * {@link #REMOVAL_DELAY} after its end its entry is off the list. Confined to the test's
- * thread.
+ * An endpoint that crashes closes its connections and refuses new ones; after
+ * {@link #DOWNTIME} another one listens at its address and answers its requests with
+ * status 421, and {@link #REMOVAL_DELAY} after the crash its entry is removed from the
+ * list. Confined to the test's thread.
  */
 public final class GatewayFleet {
 
@@ -34,13 +35,19 @@
 
 	static final Duration REMOVAL_DELAY = Duration.ofMillis(2_700);
 
-	/** Crashes after which a request is known to be deadly. */
+	/** Number of crashes after which a request is known to crash endpoints. */
 	public static final int CRASH_THRESHOLD = 3;
 
-	/** A daemon is in touch if it has run and heard the store for so long. */
+	/**
+	 * Time after which a daemon is settled, if it has run and the store has been
+	 * available throughout.
+	 */
 	public static final Duration SETTLING_TIME = Duration.ofSeconds(3);
 
-	/** What callers send so long after a daemon heard of a leaving is too late. */
+	/**
+	 * Time after a daemon learnt that an endpoint is leaving from which on callers'
+	 * requests must not reach that endpoint.
+	 */
 	static final Duration LEAVING_GRACE = Duration.ofSeconds(2);
 
 	private static final long STEP = 20;
@@ -77,9 +84,9 @@
 
 	/**
 	 * Starts a fleet.
-	 * @param size how many daemons
-	 * @param endpoints how many endpoints
-	 * @param seed for all that is drawn
+	 * @param size the number of daemons
+	 * @param endpoints the number of endpoints
+	 * @param seed the seed of all random choices
 	 */
 	public GatewayFleet(int size, int endpoints, long seed) {
 		this.random = new Random(seed);
@@ -94,10 +101,10 @@
 
 	/**
 	 * Sends a request to a daemon.
-	 * @param daemon the daemon's place
+	 * @param daemon the daemon's index
 	 * @param text the request's body; one that contains {@link SimulatedEndpoint#DEADLY}
-	 * ends each endpoint that runs it
-	 * @return what becomes of it
+	 * crashes each endpoint that runs it
+	 * @return the caller, which records the answer
 	 */
 	public SimulatedCaller call(int daemon, String text) {
 		SimulatedCaller caller = new SimulatedCaller();
@@ -109,18 +116,18 @@
 	}
 
 	/**
-	 * Lets time pass while callers call at random.
-	 * @param millis for how long
-	 * @param callsPerSecond calls to all daemons together
-	 * @param draws draws who calls when
-	 * @param events told the time before the calls of each 20 ms, in ms
+	 * Advances the clock while callers send requests at random.
+	 * @param millis the time to run for
+	 * @param callsPerSecond the calls to all daemons together
+	 * @param callRandom the source of the times of calls
+	 * @param events called with the time, in ms, before the calls of each 20 ms
 	 */
-	public void run(long millis, int callsPerSecond, Random draws, LongConsumer events) {
+	public void run(long millis, int callsPerSecond, Random callRandom, LongConsumer events) {
 		int steps = (int) (SECOND / STEP);
 		for (long now = 0; now < millis; now += STEP) {
 			events.accept(now);
 			for (int i = 0; i < callsPerSecond; i++) {
-				if (draws.nextInt(steps) == 0) {
+				if (callRandom.nextInt(steps) == 0) {
 					call("request " + now + "." + i);
 				}
 			}
@@ -133,30 +140,30 @@
 	}
 
 	/**
-	 * Sets how many of the messages between daemons get lost.
-	 * @param share the share of them
+	 * Sets the fraction of messages between daemons that are lost.
+	 * @param fraction the fraction
 	 */
-	public void setMessageLoss(double share) {
-		this.messageLoss = share;
+	public void setMessageLoss(double fraction) {
+		this.messageLoss = fraction;
 	}
 
 	/**
-	 * One of the endpoints.
-	 * @param place its place among those that live, by id
+	 * Returns one of the live endpoints.
+	 * @param index its index among the live endpoints, ordered by id
 	 * @return the endpoint
 	 */
-	public SimulatedEndpoint endpoint(int place) {
+	public SimulatedEndpoint endpoint(int index) {
 		return this.endpoints.values()
 			.stream()
 			.filter((each) -> each.alive)
 			.sorted(Comparator.comparing((each) -> each.backend.id().value()))
-			.skip(place)
+			.skip(index)
 			.findFirst()
 			.orElseThrow();
 	}
 
 	/**
-	 * Has all daemons take an endpoint's entry anew, as it is.
+	 * Adds an endpoint's unchanged entry again on all daemons.
 	 * @param endpoint the endpoint
 	 */
 	public void relist(SimulatedEndpoint endpoint) {
@@ -164,7 +171,7 @@
 	}
 
 	/**
-	 * Has an endpoint's entry lapse for all daemons, as after an outage of the store.
+	 * Makes an endpoint's entry lapse on all daemons, as after an outage of the store.
 	 * @param endpoint the endpoint
 	 */
 	public void lapse(SimulatedEndpoint endpoint) {
@@ -172,13 +179,14 @@
 	}
 
 	/**
-	 * Has an endpoint name a limit in its answers from now on, or none any more.
-	 * @param place the endpoint's place among those that live
-	 * @param perSecond requests a second from all daemons together; empty for no limit
+	 * Makes an endpoint name a limit in its answers from now on, or no longer name one.
+	 * @param index the endpoint's index among the live endpoints
+	 * @param perSecond the requests a second from all daemons together; empty for no
+	 * limit
 	 * @return the endpoint
 	 */
-	public SimulatedEndpoint limit(int place, OptionalDouble perSecond) {
-		SimulatedEndpoint endpoint = endpoint(place);
+	public SimulatedEndpoint limit(int index, OptionalDouble perSecond) {
+		SimulatedEndpoint endpoint = endpoint(index);
 		if (endpoint.limit.isEmpty() && perSecond.isPresent()) {
 			endpoint.limitSetAt = this.scheduler.nanos();
 			endpoint.limitReportedAt.clear();
@@ -188,7 +196,7 @@
 	}
 
 	/**
-	 * Starts all daemons anew, with nothing in memory, a moment after they were killed.
+	 * Kills all daemons and restarts them with no state in memory.
 	 */
 	public void restartAll() {
 		for (int i = 0; i < this.daemons.size(); i++) {
@@ -196,18 +204,18 @@
 		}
 	}
 
-	public void restart(int place) {
-		this.daemons.get(place).killed = true;
-		SimulatedDaemon fresh = new SimulatedDaemon(this, place);
-		this.daemons.set(place, fresh);
-		this.store.all().forEach(fresh.crashes::recordChanged);
-		this.endpoints.values().stream().filter((endpoint) -> endpoint.alive).forEach(fresh::putEntry);
+	public void restart(int index) {
+		this.daemons.get(index).killed = true;
+		SimulatedDaemon restarted = new SimulatedDaemon(this, index);
+		this.daemons.set(index, restarted);
+		this.store.all().forEach(restarted.crashes::recordChanged);
+		this.endpoints.values().stream().filter((endpoint) -> endpoint.alive).forEach(restarted::putEntry);
 	}
 
 	/**
-	 * Ends the endpoints on which a request runs, for another reason than the request.
+	 * Crashes all endpoints on which a request runs, for a reason other than the request.
 	 * @param text the request's body
-	 * @return whether there was one
+	 * @return whether there was such an endpoint
 	 */
 	public boolean crashAllRunning(String text) {
 		List<SimulatedEndpoint> running = this.endpoints.values()
@@ -219,7 +227,7 @@
 	}
 
 	/**
-	 * Ends one of the endpoints on which a request runs.
+	 * Crashes one of the endpoints on which a request runs.
 	 * @param text the request's body
 	 */
 	public void crashOneRunning(String text) {
@@ -231,7 +239,7 @@
 	}
 
 	/**
-	 * Resets the connections on which a request runs; its endpoint lives.
+	 * Resets the connections on which a request runs; its endpoints stay alive.
 	 * @param text the request's body
 	 */
 	public void resetConnections(String text) {
@@ -245,8 +253,8 @@
 	}
 
 	/**
-	 * When a request arrived at endpoints.
-	 * @param text its body
+	 * The times at which a request arrived at endpoints.
+	 * @param text the request's body
 	 * @return the times, in ms
 	 */
 	public List<Long> arrivals(String text) {
@@ -254,18 +262,18 @@
 	}
 
 	/**
-	 * How often a request arrived at endpoints later than all daemons must know that it
-	 * ends them, from daemons in touch: those that ran, and heard the store, for
-	 * {@link #SETTLING_TIME}.
-	 * @param text its body
-	 * @return how often
+	 * Counts the arrivals of a request at endpoints after all daemons must know that it
+	 * crashes them. Only arrivals from settled daemons count: those that have run, with
+	 * the store available, for {@link #SETTLING_TIME}.
+	 * @param text the request's body
+	 * @return the number of arrivals
 	 */
 	public int lateArrivals(String text) {
-		List<Long> all = arrivals(text);
-		if (all.size() < CRASH_THRESHOLD) {
+		List<Long> times = arrivals(text);
+		if (times.size() < CRASH_THRESHOLD) {
 			return 0;
 		}
-		long known = all.get(CRASH_THRESHOLD - 1) + SETTLING_TIME.toMillis();
+		long known = times.get(CRASH_THRESHOLD - 1) + SETTLING_TIME.toMillis();
 		return (int) this.arrivals.stream()
 			.filter((arrival) -> arrival.text.equals(text) && arrival.settled && arrival.millis > known)
 			.count();
@@ -280,8 +288,9 @@
 	}
 
 	/**
-	 * Whether all daemons tell all; in a larger fleet relays pass news on.
-	 * @return true if they do
+	 * Whether daemons broadcast to all others directly; in a larger fleet relays forward
+	 * updates.
+	 * @return true if they broadcast directly
 	 */
 	boolean fullMesh() {
 		return this.daemons.size() <= MAX_FULL_MESH;
@@ -297,9 +306,9 @@
 	/**
 	 * A request that reached an endpoint.
 	 *
-	 * @param text its body
-	 * @param millis when
-	 * @param settled whether it came from a daemon in touch
+	 * @param text the request's body
+	 * @param millis the time of its arrival, in ms
+	 * @param settled whether it came from a settled daemon
 	 */
 	public record Arrival(String text, long millis, boolean settled) {
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/NoticeTracker.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/NoticeTracker.java
@@ -7,16 +7,19 @@
 import java.util.Map;
 
 /**
- * What one endpoint said of itself to which daemon, and what reached it from there
- * afterwards. A daemon that has started anew was told nothing. Confined to the test's
- * thread.
+ * Tracks the notices that one endpoint sent to each daemon, and the requests that arrived
+ * from there afterwards. A restarted daemon counts as a new one without notices. Confined
+ * to the test's thread.
  */
 final class NoticeTracker {
 
-	/** What daemons had sent before they heard may still arrive. */
+	/**
+	 * Time in which requests that were sent before the notice was received may still
+	 * arrive.
+	 */
 	private static final Duration IN_FLIGHT_GRACE = Duration.ofMillis(500);
 
-	/** So many requests in one rest are borne. */
+	/** Maximum number of requests during one back-off that doesn't violate it. */
 	private static final int MAX_TOLERATED = 2;
 
 	private final Map<SimulatedDaemon, Long> leavingReported = new HashMap<>();
@@ -29,56 +32,58 @@
 		this.leavingReported.putIfAbsent(daemon, nanos);
 	}
 
-	void backoffRequested(SimulatedDaemon daemon, long nanos, Duration rest) {
+	void backoffRequested(SimulatedDaemon daemon, long nanos, Duration backoff) {
 		this.backoffs.computeIfAbsent(daemon, (key) -> new ArrayList<>())
-			.add(new Backoff(nanos + IN_FLIGHT_GRACE.toNanos(), nanos + rest.toNanos()));
+			.add(new Backoff(nanos + IN_FLIGHT_GRACE.toNanos(), nanos + backoff.toNanos()));
 	}
 
 	/**
-	 * Notes a request that arrives.
+	 * Records the arrival of a request.
 	 * @param from the daemon that sent it
-	 * @param callerSent when its caller sent it
-	 * @param nanos now
+	 * @param callerSentAt when its caller sent it
+	 * @param nanos the current time
 	 */
-	void arrives(SimulatedDaemon from, long callerSent, long nanos) {
-		Long passedOn = this.leavingReported.get(from);
-		if (passedOn != null && callerSent - passedOn > GatewayFleet.LEAVING_GRACE.toNanos()) {
+	void arrives(SimulatedDaemon from, long callerSentAt, long nanos) {
+		Long reportedAt = this.leavingReported.get(from);
+		if (reportedAt != null && callerSentAt - reportedAt > GatewayFleet.LEAVING_GRACE.toNanos()) {
 			this.arrivalsAfterLeaving++;
 		}
-		this.backoffs.getOrDefault(from, List.of()).forEach((rest) -> rest.arrives(nanos));
+		this.backoffs.getOrDefault(from, List.of()).forEach((backoff) -> backoff.arrives(nanos));
 	}
 
 	/**
-	 * Requests that came though their daemon had passed on long before that the endpoint
-	 * leaves.
-	 * @return the number
+	 * Counts the requests that arrived from a daemon although it had forwarded the
+	 * endpoint's leaving notice {@link GatewayFleet#LEAVING_GRACE} before the caller sent
+	 * them.
+	 * @return the number of requests
 	 */
 	int arrivalsAfterLeaving() {
 		return this.arrivalsAfterLeaving;
 	}
 
 	/**
-	 * Rests in which more than a few requests came.
-	 * @return the number
+	 * Counts the back-offs during which more than {@link #MAX_TOLERATED} requests
+	 * arrived.
+	 * @return the number of back-offs
 	 */
 	int violatedBackoffs() {
 		return (int) this.backoffs.values()
 			.stream()
 			.flatMap(List::stream)
-			.filter((rest) -> rest.arrivals > MAX_TOLERATED)
+			.filter((backoff) -> backoff.arrivals > MAX_TOLERATED)
 			.count();
 	}
 
 	/**
-	 * How many daemons were asked for rest.
-	 * @return the number
+	 * Counts the daemons that were asked to back off.
+	 * @return the number of daemons
 	 */
 	int daemonsAskedToBackOff() {
 		return this.backoffs.size();
 	}
 
 	/**
-	 * One rest that was asked for.
+	 * A requested back-off.
 	 */
 	private static final class Backoff {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SentRequest.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SentRequest.java
@@ -45,7 +45,7 @@
 		}
 	}
 
-	/** Another endpoint listens at the address. */
+	/** Answers as another endpoint that listens at the same address. */
 	void answerMisdirected() {
 		if (!this.cancelled) {
 			this.listener
@@ -77,7 +77,7 @@
 
 	@Override
 	public void reading(boolean on) {
-		// The endpoints of these tests answer at once.
+		// Simulated endpoints send whole answers, so there is nothing to pause.
 	}
 
 }
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedCaller.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedCaller.java
@@ -7,7 +7,7 @@
 import org.bramleyscale.internal.gateway.request.Header;
 
 /**
- * A caller that notes what it gets. Confined to the test's thread.
+ * A caller that records the answer it receives. Confined to the test's thread.
  */
 public final class SimulatedCaller implements CallerReply {
 
@@ -26,9 +26,9 @@
 	}
 
 	/**
-	 * Whether the request was refused for what it may do to endpoints, and not because
-	 * none could be reached.
-	 * @return true if it was
+	 * Whether the request was refused because it may crash endpoints, and not because no
+	 * endpoint was available.
+	 * @return true if it was refused as suspected
 	 */
 	public boolean suspected() {
 		return this.reason.contains("under this request");
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedDaemon.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedDaemon.java
@@ -50,7 +50,8 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * One start of a daemon, with real slices. Confined to the test's thread.
+ * One start of a daemon, which runs the production classes of the gateway on a simulated
+ * network. Confined to the test's thread.
  */
 public final class SimulatedDaemon implements PeerNetwork, NewsRoutes, EndpointCheck {
 
@@ -58,12 +59,12 @@
 
 	private static final Duration REQUEST_LATENCY = Duration.ofMillis(1);
 
-	/** How long news between daemons take, also in a large fleet. */
+	/** Latency of a message between daemons. */
 	private static final Duration PEER_LATENCY = Duration.ofMillis(60);
 
 	private static final int DATA_CENTRES = 3;
 
-	/** Relays in each data centre of a large fleet. */
+	/** Number of relays in each data centre of a large fleet. */
 	private static final int RELAYS_PER_DATA_CENTRE = 2;
 
 	final GatewayFleet fleet;
@@ -86,16 +87,16 @@
 
 	boolean killed;
 
-	SimulatedDaemon(GatewayFleet fleet, int place) {
+	SimulatedDaemon(GatewayFleet fleet, int index) {
 		this.fleet = fleet;
-		this.index = place;
+		this.index = index;
 		this.startedAt = fleet.scheduler.nanos();
-		this.vm = new VmId("d" + place);
+		this.vm = new VmId("d" + index);
 		ManualScheduler clock = fleet.scheduler;
 		this.backends = new BackendTable(clock, DecisionLog.NONE);
 		this.crashes = new FleetCrashGuard(
 				new FleetCrashGuard.Ports(clock, this, this, this.fleet.store, DecisionLog.NONE, new MetricRegistry()),
-				this, this.backends::offers, () -> place == 0);
+				this, this.backends::offers, () -> index == 0);
 		this.limits = new FleetLimits(clock, this, this, this::rank, DecisionLog.NONE, new MetricRegistry());
 		this.backends.onEnd(this.crashes::gone);
 		BackendHealth health = new BackendHealth(clock, DecisionLog.NONE);
@@ -116,7 +117,7 @@
 				new EndpointNotices(new FleetPresence(clock, this, this, this.backends), health), health, loads,
 				new DemandBoard(clock), new RetryWindow(clock, Duration.ofSeconds(10), 0.2, 100, () -> 1), this.limits,
 				this.crashes, new MemoryHolds(clock, new NoOrders(), this.backends::startedAgain, (engine) -> true,
-						"d" + place, DecisionLog.NONE),
+						"d" + index, DecisionLog.NONE),
 				() -> {
 				}, DecisionLog.NONE, new GatewayMetrics(new MetricRegistry()));
 		this.service = new GatewayService(ports, catalogs, (left) -> true, this.fleet.random);
@@ -143,8 +144,8 @@
 	}
 
 	boolean settled() {
-		boolean ran = this.fleet.scheduler.nanos() - this.startedAt > GatewayFleet.SETTLING_TIME.toNanos();
-		return ran && this.fleet.store.stableFor(GatewayFleet.SETTLING_TIME);
+		boolean running = this.fleet.scheduler.nanos() - this.startedAt > GatewayFleet.SETTLING_TIME.toNanos();
+		return running && this.fleet.store.stableFor(GatewayFleet.SETTLING_TIME);
 	}
 
 	@SuppressWarnings("unchecked")
@@ -154,24 +155,24 @@
 	}
 
 	/**
-	 * Whether this daemon counts another as one that runs. While that has just started,
-	 * half of the others don't.
+	 * Whether this daemon knows that another is running. While a daemon has only just
+	 * started, half of the others don't know of it.
 	 * @param other the other daemon
-	 * @return whether it does
+	 * @return true if this daemon knows of it
 	 */
-	private boolean sees(SimulatedDaemon other) {
-		boolean fresh = this.fleet.scheduler.nanos() - other.startedAt < GatewayFleet.SETTLING_TIME.toNanos();
+	private boolean knows(SimulatedDaemon other) {
+		boolean justStarted = this.fleet.scheduler.nanos() - other.startedAt < GatewayFleet.SETTLING_TIME.toNanos();
 		boolean unaware = (this.vm.hashCode() + other.vm.hashCode()) % 2 == 0;
-		return other == this || !fresh || !unaware;
+		return other == this || !justStarted || !unaware;
 	}
 
 	/**
-	 * This daemon's place among all that it knows to run.
+	 * This daemon's rank among all that it knows to be running.
 	 * @param endpoint the endpoint
-	 * @return 0 for the first
+	 * @return the rank, 0 for the first
 	 */
 	private int rank(EndpointStart endpoint) {
-		List<VmId> all = this.fleet.daemons.stream().filter(this::sees).map((daemon) -> daemon.vm).toList();
+		List<VmId> all = this.fleet.daemons.stream().filter(this::knows).map((daemon) -> daemon.vm).toList();
 		return HASH.ranked(endpoint.toString(), all).indexOf(this.vm);
 	}
 
@@ -203,9 +204,9 @@
 		if (this.fleet.fullMesh() || !isRelay()) {
 			return List.of();
 		}
-		boolean fromNear = this.fleet.daemons.stream()
+		boolean fromSameDataCentre = this.fleet.daemons.stream()
 			.anyMatch((other) -> other.vm.equals(from) && inSameDataCentre(other));
-		Collection<VmId> to = fromNear ? relayTargets() : others(this::inSameDataCentre);
+		Collection<VmId> to = fromSameDataCentre ? relayTargets() : others(this::inSameDataCentre);
 		return to.stream().filter((vm) -> !vm.equals(from)).toList();
 	}
 
@@ -239,7 +240,7 @@
 	/**
 	 * Whether this daemon sends requests to an endpoint.
 	 * @param endpoint the endpoint
-	 * @return false once it knows that the endpoint leaves or is gone
+	 * @return false once it knows that the endpoint is leaving or was removed
 	 */
 	public boolean offers(SimulatedEndpoint endpoint) {
 		return this.backends.offers(endpoint.backend);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedEndpoint.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedEndpoint.java
@@ -16,16 +16,19 @@
  */
 public final class SimulatedEndpoint {
 
-	/** A request whose body contains this ends each endpoint that runs it. */
+	/** A request whose body contains this text crashes each endpoint that runs it. */
 	public static final String DEADLY = "deadly";
 
-	/** A daemon knows of a limit so long after it passed on an answer that names it. */
+	/**
+	 * Time after its first answer with a limit from which on a daemon must observe that
+	 * limit.
+	 */
 	private static final Duration LIMIT_GRACE = Duration.ofMillis(500);
 
-	/** How long an endpoint works on a request that ends well. */
+	/** Time that an endpoint takes to serve a request. */
 	private static final Duration SERVICE_TIME = Duration.ofMillis(200);
 
-	/** How long an endpoint works on a request until that ends it. */
+	/** Time after which a deadly request crashes the endpoint that runs it. */
 	private static final Duration CRASH_DELAY = Duration.ofMillis(90);
 
 	static final Duration REFUSAL_LATENCY = Duration.ofMillis(2);
@@ -62,12 +65,12 @@
 	}
 
 	/**
-	 * The most requests in any span from daemons that had passed on an answer with a
-	 * limit {@link GatewayFleet#TOLD} before.
-	 * @param from the span begins then at the earliest, ms
-	 * @param to the span begins before this, ms
-	 * @param span its length
-	 * @return the number
+	 * The maximum number of requests in any time span, from daemons that had forwarded an
+	 * answer with a limit {@link #LIMIT_GRACE} before.
+	 * @param from the earliest start of the span, in ms
+	 * @param to the end of the range of starts, exclusive, in ms
+	 * @param span the span's length
+	 * @return the number of requests
 	 */
 	public int maxRequestsInSpan(long from, long to, Duration span) {
 		int most = 0;
@@ -86,10 +89,10 @@
 	}
 
 	/**
-	 * How many requests arrived.
-	 * @param from from then on, ms
-	 * @param to before this, ms
-	 * @return the number
+	 * Counts the requests that arrived in an interval.
+	 * @param from the start of the interval, in ms
+	 * @param to the end of the interval, exclusive, in ms
+	 * @return the number of requests
 	 */
 	public long arrivalCount(long from, long to) {
 		return this.arrivalNanos.stream()
@@ -98,41 +101,43 @@
 	}
 
 	/**
-	 * Has the endpoint say in all its answers from now on that it leaves; it goes on
-	 * serving, and its entry stays on the list as it is.
+	 * Makes the endpoint announce in all its answers from now on that it is leaving. It
+	 * continues to serve requests, and its entry on the list doesn't change.
 	 */
 	public void leave() {
 		this.leaving = true;
 	}
 
 	/**
-	 * Has the endpoint turn everything away from now on, or nothing any more.
-	 * @param wanted the rest that it asks for
+	 * Makes the endpoint reject all requests from now on, or accept them again.
+	 * @param requested the back-off that it requests; empty to accept requests
 	 */
-	public void turnAway(Optional<Duration> wanted) {
-		this.backoff = wanted;
+	public void turnAway(Optional<Duration> requested) {
+		this.backoff = requested;
 	}
 
 	/**
-	 * Requests that came though their daemon had passed on
-	 * {@link GatewayFleet#LEAVING_GRACE} before that this endpoint leaves.
-	 * @return the number
+	 * Counts the requests that arrived from a daemon although it had forwarded this
+	 * endpoint's leaving notice {@link GatewayFleet#LEAVING_GRACE} before the caller sent
+	 * them.
+	 * @return the number of requests
 	 */
 	public int arrivalsAfterLeaving() {
 		return this.notices.arrivalsAfterLeaving();
 	}
 
 	/**
-	 * Rests asked of a daemon in which more than a few requests came from it.
-	 * @return the number
+	 * Counts the back-offs requested from a daemon during which more than a few requests
+	 * arrived from it.
+	 * @return the number of back-offs
 	 */
 	public int violatedBackoffs() {
 		return this.notices.violatedBackoffs();
 	}
 
 	/**
-	 * How many daemons this endpoint asked for rest.
-	 * @return the number
+	 * Counts the daemons that this endpoint asked to back off.
+	 * @return the number of daemons
 	 */
 	public int daemonsAskedToBackOff() {
 		return this.notices.daemonsAskedToBackOff();
@@ -141,8 +146,8 @@
 	private void recordArrival(SimulatedDaemon from) {
 		long now = this.fleet.scheduler.nanos();
 		this.arrivalNanos.add(now);
-		boolean named = this.limit.isPresent() && now - this.limitSetAt > GatewayFleet.SETTLING_TIME.toNanos();
-		if (named && this.limitReportedAt.containsKey(from)
+		boolean limited = this.limit.isPresent() && now - this.limitSetAt > GatewayFleet.SETTLING_TIME.toNanos();
+		if (limited && this.limitReportedAt.containsKey(from)
 				&& now - this.limitReportedAt.get(from) >= LIMIT_GRACE.toNanos()) {
 			this.limitedArrivalNanos.add(now);
 		}
@@ -186,7 +191,7 @@
 	}
 
 	/**
-	 * What an answer says of this endpoint now, to a daemon that passes it on.
+	 * The notice in an answer to a daemon, which that daemon forwards to its peers.
 	 * @param to the daemon
 	 * @return the notice
 	 */
@@ -211,9 +216,9 @@
 		}
 		this.alive = false;
 		this.crashedAt = this.fleet.scheduler.nanos();
-		List<SentRequest> fallen = List.copyOf(this.running);
+		List<SentRequest> failed = List.copyOf(this.running);
 		this.running.clear();
-		fallen.forEach((sent) -> sent.fail(true, "connection closed by the endpoint"));
+		failed.forEach((sent) -> sent.fail(true, "connection closed by the endpoint"));
 		this.fleet.scheduler.schedule(GatewayFleet.DOWNTIME, this.fleet::startEndpoint);
 		this.fleet.scheduler.schedule(GatewayFleet.REMOVAL_DELAY,
 				() -> this.fleet.daemons.forEach((daemon) -> daemon.removeEntry(this.backend)));
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedStore.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedStore.java
@@ -16,7 +16,7 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * A store with records, whose changes reach all daemons a moment later. Confined to the
+ * An in-memory store whose changes reach all daemons after a delay. Confined to the
  * test's thread.
  */
 public final class SimulatedStore implements PartialStore {
@@ -34,7 +34,7 @@
 
 	private long revision = 1;
 
-	private boolean setUnavailable;
+	private boolean unavailable;
 
 	private long availabilityChangedAt = Long.MIN_VALUE / 2;
 
@@ -46,13 +46,13 @@
 		this.follower = listener;
 	}
 
-	public void setUnavailable(boolean nowAway) {
-		this.setUnavailable = nowAway;
+	public void setUnavailable(boolean value) {
+		this.unavailable = value;
 		this.availabilityChangedAt = this.scheduler.nanos();
 	}
 
 	boolean stableFor(Duration time) {
-		return !this.setUnavailable && this.scheduler.nanos() - this.availabilityChangedAt > time.toNanos();
+		return !this.unavailable && this.scheduler.nanos() - this.availabilityChangedAt > time.toNanos();
 	}
 
 	public List<FollowedObject> all() {
@@ -89,11 +89,13 @@
 		CompletableFuture<T> result = new CompletableFuture<>();
 		this.scheduler.schedule(CALL_LATENCY, () -> {
 			StoredObject known = this.records.get(key.name());
-			if (this.setUnavailable) {
-				result.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "away"));
+			if (this.unavailable) {
+				result.completeExceptionally(
+						new PlatformException(PlatformException.Kind.UNAVAILABLE, "store unavailable"));
 			}
 			else if (((known != null) ? known.version() : 0) != expected) {
-				result.completeExceptionally(new PlatformException(PlatformException.Kind.CONFLICT, "changed"));
+				result.completeExceptionally(
+						new PlatformException(PlatformException.Kind.CONFLICT, "object has changed"));
 			}
 			else {
 				result.complete(change.get());
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/limit/LimitFaultsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/limit/LimitFaultsTests.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Drawn fleets, limits and faults.
+ * Randomised tests of limits, with random fleets and faults.
  *
  * <p>
- * More seeds by hand: {@code -Dlimit.seeds=1000}.
+ * {@code -Dlimit.seeds=1000} runs more seeds.
  */
 class LimitFaultsTests {
 
@@ -28,8 +28,8 @@
 	}
 
 	/**
-	 * Guards against more than a limit through starts, lost news and daemons that
-	 * disagree.
+	 * Guards against exceeding a limit because of restarts, lost messages and daemons
+	 * that disagree about the holders.
 	 */
 	@ParameterizedTest
 	@MethodSource("seeds")
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/limit/NamedLimitTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/limit/NamedLimitTests.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests of what daemons send to endpoints that name a limit.
+ * Tests that daemons together respect the limits that endpoints name.
  */
 class NamedLimitTests {
 
@@ -25,12 +25,12 @@
 
 	private static final long END = 40_000;
 
-	/** The span in which requests are counted. */
+	/** The time span over which requests are counted. */
 	private static final Duration SPAN = Duration.ofSeconds(4);
 
 	private int calls;
 
-	/** Guards against daemons that keep to a limit each for itself, or not at all. */
+	/** Guards against daemons that apply a limit individually, or not at all. */
 	@ParameterizedTest
 	@CsvSource({ "1, 1, 60, 0, 1", "9, 1, 25, 0, 2", "9, 1, 60, 3000, 3", "9, 0.3, 60, 1000, 4", "9, 8, 150, 3000, 5",
 			"24, 2.5, 120, 500, 6", "100, 1, 150, 0, 7", "100, 1, 150, 200, 8", "300, 1, 150, 100, 9" })
@@ -55,28 +55,29 @@
 				(endpoint) -> Truth.assertThat(endpoint.maxRequestsInSpan(from, END, SPAN)).isAtMost((int) allowed));
 	}
 
-	/** Guards against leaving an endpoint alone that names its limit no more. */
+	/**
+	 * Guards against endpoints that are not used again once they no longer name a limit.
+	 */
 	@ParameterizedTest
 	@CsvSource({ "1, 1", "9, 2", "100, 3" })
 	void endpointIsUsedAgainOnceItNamesNoLimit(int daemons, long seed) {
 		GatewayFleet fleet = new GatewayFleet(daemons, ENDPOINTS, seed);
 		Random random = new Random(seed);
 		SimulatedEndpoint limited = fleet.limit(2, OptionalDouble.of(1));
-		long over = 20_000;
+		long limitEnd = 20_000;
 		for (long millis = 0; millis < 60_000; millis += 20) {
-			if (millis == over) {
+			if (millis == limitEnd) {
 				fleet.limit(2, OptionalDouble.empty());
 			}
 			call(fleet, random, 60);
 			fleet.scheduler.advance(Duration.ofMillis(20));
 		}
-		Truth.assertThat(limited.arrivalCount(10_000, over)).isAtMost(10);
-		Truth.assertThat(limited.arrivalCount(over + 32_000, 60_000)).isAtLeast(8);
+		Truth.assertThat(limited.arrivalCount(10_000, limitEnd)).isAtMost(10);
+		Truth.assertThat(limited.arrivalCount(limitEnd + 32_000, 60_000)).isAtLeast(8);
 	}
 
 	/**
-	 * Guards against lost requests, and against waiting, where every endpoint names a
-	 * limit.
+	 * Guards against lost or waiting requests while every endpoint names a limit.
 	 */
 	@Test
 	void requestsAboveAllLimitsAreRefusedAtOnceAndOthersServed() {
