--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FleetNews.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FleetNews.java
@@ -11,83 +11,84 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Carries what one daemon has learnt to all others.
+ * Disseminates updates of one daemon to all others.
  *
  * <p>
- * It goes out at once and is passed on by relays for as long as it is new to whoever
- * hears it. Besides, each daemon repeats the gist of what it knows to one peer after the
- * other, for those that have just started or lost a message. Confined to the scheduler's
- * thread.
+ * An update is sent at once and forwarded by relays as long as it is new to the receiver.
+ * In addition, each daemon periodically sends a digest of its state to one peer after the
+ * other, for peers that have just started or missed a message. Confined to the
+ * scheduler's thread.
  *
- * @param <M> the message that carries it
+ * @param <M> the type of the message that carries updates and digests
  */
 public final class FleetNews<M extends PeerMessage> {
 
-	/** The pause between two repetitions, each of them to one peer. */
-	static final Duration PAUSE = Duration.ofSeconds(1);
+	/** The interval between two digests, each of them sent to one peer. */
+	static final Duration DIGEST_INTERVAL = Duration.ofSeconds(1);
 
 	private final PeerNetwork network;
 
 	private final NewsRoutes routes;
 
-	private final Beliefs<M> beliefs;
+	private final Beliefs<M> state;
 
-	private int next;
+	private int nextPeer;
 
 	/**
-	 * Makes the carrier, which listens and repeats from now on.
+	 * Creates the exchange, which starts to listen and to send digests.
 	 * @param scheduler the daemon's scheduler
-	 * @param network to the peers
-	 * @param routes who gets what is new
-	 * @param type the message
-	 * @param beliefs what is known
+	 * @param network the connections to the peers
+	 * @param routes the recipients of updates
+	 * @param type the type of the message
+	 * @param state the state that is exchanged
 	 */
-	public FleetNews(Scheduler scheduler, PeerNetwork network, NewsRoutes routes, Class<M> type, Beliefs<M> beliefs) {
+	public FleetNews(Scheduler scheduler, PeerNetwork network, NewsRoutes routes, Class<M> type, Beliefs<M> state) {
 		this.network = network;
 		this.routes = routes;
-		this.beliefs = beliefs;
-		network.listen(type, this::heard);
-		scheduler.repeat(PAUSE, this::repeat);
+		this.state = state;
+		network.listen(type, this::receive);
+		scheduler.repeat(DIGEST_INTERVAL, this::sendDigest);
 	}
 
 	/**
-	 * Tells what this daemon has learnt by itself.
-	 * @param message the news
+	 * Sends an update that originates at this daemon.
+	 * @param message the update
 	 */
 	public void tell(M message) {
 		this.network.sendAll(this.routes.firstHand(), message);
 	}
 
-	private void heard(Incarnation from, M message) {
-		this.beliefs.heard(from, message)
-			.ifPresent((news) -> this.network.sendAll(this.routes.passedOn(from.vm()), news));
+	private void receive(Incarnation from, M message) {
+		this.state.heard(from, message)
+			.ifPresent((update) -> this.network.sendAll(this.routes.passedOn(from.vm()), update));
 	}
 
-	private void repeat() {
+	private void sendDigest() {
 		List<VmId> peers = List.copyOf(this.network.connected());
 		if (!peers.isEmpty()) {
-			this.beliefs.gist().ifPresent((gist) -> this.network.send(peers.get(this.next++ % peers.size()), gist));
+			this.state.gist()
+				.ifPresent((digest) -> this.network.send(peers.get(this.nextPeer++ % peers.size()), digest));
 		}
 	}
 
 	/**
-	 * What a daemon knows of one matter.
+	 * The state that is exchanged between daemons.
 	 *
-	 * @param <M> the message that carries it
+	 * @param <M> the type of the message that carries it
 	 */
 	public interface Beliefs<M extends PeerMessage> {
 
 		/**
-		 * Takes a peer's word.
+		 * Merges a peer's update or digest.
 		 * @param from the peer
-		 * @param message what it tells
-		 * @return what of it is new here, or empty if nothing is
+		 * @param message its update or digest
+		 * @return the part that is new to this daemon, or empty if there is none
 		 */
 		Optional<M> heard(Incarnation from, M message);
 
 		/**
-		 * What a daemon that has just started needs to know.
-		 * @return the message, or empty if there is nothing to tell
+		 * Returns what a daemon that has just started needs to know.
+		 * @return the digest, or empty if there is nothing to send
 		 */
 		Optional<M> gist();
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FollowedKind.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FollowedKind.java
@@ -14,19 +14,23 @@
  * The copies of one kind of platform objects, deletions included.
  *
  * <p>
- * Invariants: the copy of an object never becomes older; {@link #complete()} never goes
- * back, and every change up to that revision is known here. Deletions are kept as copies
- * without bytes, since a peer that missed one can't tell a deleted object from one that
- * it learnt later. Confined to the scheduler's thread.
+ * Invariants: the copy of an object is never replaced by an older one;
+ * {@link #complete()} never decreases, and every change up to that revision is known
+ * here. Deletions are kept as copies without bytes (tombstones), since a peer that missed
+ * a deletion can't distinguish a deleted object from one that it has not received yet.
+ * Confined to the scheduler's thread.
  */
 public final class FollowedKind {
 
 	/**
-	 * Deletions kept at most, some minutes' worth of a fleet that is replaced as a whole.
+	 * The most tombstones kept: some minutes of deletions when a whole fleet is replaced.
 	 */
-	private static final int MOST_DELETIONS = 20_000;
+	private static final int MAX_DELETIONS = 20_000;
 
-	/** A time so long ago that differences to it still fit. */
+	/**
+	 * A time so far in the past that no other precedes it; differences to it do not
+	 * overflow.
+	 */
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
 	private final Map<String, FollowedObject> copies = new HashMap<>();
@@ -54,8 +58,8 @@
 	}
 
 	/**
-	 * The revision of the newest change known, which is equal on daemons that know the
-	 * same objects.
+	 * The revision of the newest change known. It is equal on daemons that know the same
+	 * objects.
 	 * @return the revision
 	 */
 	public long lastChange() {
@@ -63,50 +67,51 @@
 	}
 
 	/**
-	 * When the store, as far as heard, said that nothing was newer than these copies.
-	 * @return the scheduler's time; long before any other if it never did
+	 * The latest time for which the store is known to have confirmed that nothing was
+	 * newer than these copies.
+	 * @return the scheduler's time; long before any other if there was no confirmation
 	 */
 	public long confirmedAt() {
 		return this.confirmedAt;
 	}
 
 	/**
-	 * Notes that the store had nothing newer.
-	 * @param at the scheduler's time; an earlier one than known changes nothing
+	 * Records that the store had nothing newer.
+	 * @param at the scheduler's time; has no effect if a later confirmation is known
 	 */
 	public void confirm(long at) {
 		this.confirmedAt = Math.max(this.confirmedAt, at);
 	}
 
 	/**
-	 * Takes a list of all objects.
-	 * @param list the list
+	 * Applies a complete list of the objects.
+	 * @param list the list; ignored if it is older than the copies
 	 */
-	public void list(WatchBatch list) {
+	public void applyList(WatchBatch list) {
 		if (list.revision() < this.complete) {
 			return;
 		}
 		Set<String> missing = new HashSet<>(this.copies.keySet());
 		for (StoredObject object : list.changed()) {
 			missing.remove(object.key().name());
-			take(new FollowedObject(object.key().name(), object.version(), object.value()));
+			apply(new FollowedObject(object.key().name(), object.version(), object.value()));
 		}
 		missing.stream()
 			.filter((name) -> !this.copies.get(name).deleted())
-			.forEach((name) -> take(new FollowedObject(name, list.revision(), null)));
+			.forEach((name) -> apply(new FollowedObject(name, list.revision(), null)));
 		this.complete = list.revision();
 	}
 
 	/**
-	 * Takes what a watch brought.
+	 * Applies the result of a watch.
 	 * @param batch changes in order; without a gap
 	 */
-	public void changes(WatchBatch batch) {
+	public void applyChanges(WatchBatch batch) {
 		for (StoredObject object : batch.changed()) {
-			take(new FollowedObject(object.key().name(), object.version(), object.value()));
+			apply(new FollowedObject(object.key().name(), object.version(), object.value()));
 		}
 		for (String name : batch.deleted()) {
-			take(new FollowedObject(name, batch.revision(), null));
+			apply(new FollowedObject(name, batch.revision(), null));
 		}
 		this.complete = Math.max(this.complete, batch.revision());
 	}
@@ -114,9 +119,9 @@
 	/**
 	 * The copies that changed after a revision.
 	 * @param revision the revision
-	 * @return the copies, deletions included
+	 * @return the copies, deletions included unless the revision is 0
 	 */
-	public List<FollowedObject> after(long revision) {
+	public List<FollowedObject> changedAfter(long revision) {
 		List<FollowedObject> result = new ArrayList<>();
 		for (FollowedObject copy : this.copies.values()) {
 			if (copy.revision() > revision && !(revision == 0 && copy.deleted())) {
@@ -127,23 +132,23 @@
 	}
 
 	/**
-	 * Takes a peer's copies.
-	 * @param from the revision after which the peer gave all changes
-	 * @param to the revision up to which it knows all changes
+	 * Applies the copies of a peer.
+	 * @param from the peer sent all changes after this revision
+	 * @param to the revision up to which the peer knows all changes
 	 * @param objects the copies
 	 * @return false if changes before the first revision are missing here, so that
-	 * nothing was taken
+	 * nothing was applied
 	 */
-	public boolean fromPeer(long from, long to, List<FollowedObject> objects) {
+	public boolean applyFromPeer(long from, long to, List<FollowedObject> objects) {
 		if (from > this.complete) {
 			return false;
 		}
-		objects.forEach(this::take);
+		objects.forEach(this::apply);
 		this.complete = Math.max(this.complete, to);
 		return true;
 	}
 
-	private void take(FollowedObject object) {
+	private void apply(FollowedObject object) {
 		FollowedObject before = this.copies.get(object.name());
 		if (before != null && before.revision() >= object.revision()) {
 			return;
@@ -156,20 +161,20 @@
 		this.lastChange = Math.max(this.lastChange, object.revision());
 		if (object.deleted()) {
 			this.deletions++;
-			forgetDeletions();
+			purgeDeletions();
 		}
 		this.listener.changed(object);
 	}
 
-	private void forgetDeletions() {
-		if (this.deletions > MOST_DELETIONS) {
+	private void purgeDeletions() {
+		if (this.deletions > MAX_DELETIONS) {
 			this.copies.values().removeIf(FollowedObject::deleted);
 			this.deletions = 0;
 		}
 	}
 
 	/**
-	 * Told of each change.
+	 * A listener for changes of copies.
 	 */
 	@FunctionalInterface
 	public interface Listener {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FollowedObject.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FollowedObject.java
@@ -1,7 +1,7 @@
 package org.bramleyscale.internal.gateway.follow;
 
 /**
- * A copy of one platform object, or the news that it was deleted.
+ * A copy of one platform object, or a tombstone if the object was deleted.
  *
  * <p>
  * Immutable and safe for use by multiple threads; callers must not modify the bytes.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/NewsRoutes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/NewsRoutes.java
@@ -5,7 +5,8 @@
 import org.bramleyscale.VmId;
 
 /**
- * To whom a daemon passes on what is new in the store.
+ * The recipients of updates: the peers to which a daemon sends its own and forwards those
+ * of others.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -13,13 +14,15 @@
 public interface NewsRoutes {
 
 	/**
-	 * Those who get what this daemon read itself.
+	 * The recipients of updates that originate at this daemon, such as what it read from
+	 * the store.
 	 * @return their VMs
 	 */
 	Collection<VmId> firstHand();
 
 	/**
-	 * Those who get what a peer told, so that it reaches every daemon.
+	 * The peers to which an update of a peer is forwarded, so that it reaches every
+	 * daemon.
 	 * @param from the peer
 	 * @return their VMs
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/PeerCopies.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/PeerCopies.java
@@ -17,45 +17,49 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Passes copies of platform objects between daemons.
+ * Exchanges copies of platform objects between daemons.
  *
  * <p>
- * Few daemons ask the store, and it may turn single ones away while it serves the others
- * and the operator. Whoever reads something new pushes it to the others; besides, every
- * daemon tells a few peers how far its copies reach, and one that knows more sends what
- * is missing, so that a lost push costs a moment. A peer whose connection doesn't keep up
- * gets what is newest once it does, and nothing in between: 25 versions in two seconds
- * would queue for ten on a link of 14 Mbit/s, and the last of them counts.
+ * Few daemons query the store, and it may refuse single daemons while it serves the
+ * others and the operator. A daemon that reads a change pushes it to the others. In
+ * addition, every daemon periodically sends a digest of its copies to a few peers, and a
+ * peer that knows more replies with what is missing, so that a lost push is repaired
+ * within a few rounds. A peer whose connection is congested gets only the newest version
+ * once the connection has drained, and no intermediate ones: 25 versions in two seconds
+ * would queue for ten seconds on a link of 14 Mbit/s, and only the last of them matters.
  *
  * <p>
- * Invariants: a daemon answers only with changes that it knows without a gap; what it
- * hears is as old as the sender said and what it waited on its way, and makes nothing
- * fresh while the time that it waited isn't known. Messages that queue for seconds would
- * look fresh otherwise, and a daemon with fresh news doesn't ask the store: a change
- * would be as late as the queue is long. Confined to the scheduler's thread.
+ * Invariants: a daemon replies only with changes that it knows without a gap. The age of
+ * received copies is the age that the sender stated plus the queueing delay of the
+ * message, and a message whose delay isn't known confirms nothing. Otherwise messages
+ * that queue for seconds would look fresh, and since a daemon with fresh copies doesn't
+ * query the store, a change would be delayed by as much as the queue. Confined to the
+ * scheduler's thread.
  */
 public final class PeerCopies {
 
-	/** The pause between tellings; they only make good what pushes missed. */
-	static final Duration PAUSE = Duration.ofMillis(400);
+	/** The interval between rounds of digests, which only repair lost pushes. */
+	static final Duration DIGEST_INTERVAL = Duration.ofMillis(400);
 
-	/** Peers told in one round; the rest follow in later rounds. */
-	static final int TOLD_AT_ONCE = 2;
+	/** The peers that get a digest in one round; the others follow in later rounds. */
+	static final int DIGESTS_PER_ROUND = 2;
 
-	/** Peers that were silent for five rounds may be gone, frozen or cut off. */
-	static final Duration ALONE = PAUSE.multipliedBy(5);
+	/**
+	 * Peers that sent nothing for five rounds may have failed, be frozen or be cut off.
+	 */
+	static final Duration ISOLATED_AFTER = DIGEST_INTERVAL.multipliedBy(5);
 
-	/** By then the first one's push has arrived. */
-	static final Duration SECOND_HAND = Duration.ofMillis(100);
+	/** The delay after which the push of the first daemon in the order has arrived. */
+	static final Duration DIGEST_DELAY = Duration.ofMillis(100);
 
-	/** A peer whose news are older by so much missed a push, or has just started. */
-	private static final Duration MUCH_OLDER = Duration.ofSeconds(1);
+	/** A peer whose confirmation is older by this missed a push or has just started. */
+	private static final Duration STALE_BY = Duration.ofSeconds(1);
 
-	/** News that are fresher by less aren't worth a message to each daemon. */
-	private static final Duration FRESHER = Duration.ofMillis(200);
+	/** The least gain in freshness that is worth a message to each daemon. */
+	private static final Duration FRESHER_BY = Duration.ofMillis(200);
 
-	/** The pause between looks at connections that didn't keep up. */
-	static final Duration LOOK = Duration.ofMillis(20);
+	/** The interval between checks whether congested connections have drained. */
+	static final Duration CONGESTION_CHECK = Duration.ofMillis(20);
 
 	private final Scheduler scheduler;
 
@@ -69,22 +73,22 @@
 
 	private final QueueingDelays delays;
 
-	private final Set<VmId> behind = new HashSet<>();
+	private final Set<VmId> congestedPeers = new HashSet<>();
 
-	private long heardAt;
+	private long lastReceivedAt;
 
-	private long outageAt;
+	private long lastOutageAt;
 
-	private int next;
+	private int nextPeer;
 
 	/**
-	 * Makes the exchange.
+	 * Creates the exchange.
 	 * @param self the daemon
 	 * @param scheduler the daemon's scheduler
-	 * @param network to the peers
+	 * @param network the connections to the peers
 	 * @param kinds the copies by kind
-	 * @param routes who gets what is new
-	 * @param log takes a line for each delta taken
+	 * @param routes the recipients of updates
+	 * @param log takes a line for each change received
 	 */
 	public PeerCopies(Incarnation self, Scheduler scheduler, PeerNetwork network, Map<String, FollowedKind> kinds,
 			NewsRoutes routes, DecisionLog log) {
@@ -95,14 +99,14 @@
 		this.log = log;
 		this.delays = new QueueingDelays(self, scheduler, (peer, queue, waitedMillis) -> log.belief("copies", "news",
 				"queue", queue, "from", peer, "waited_ms", waitedMillis));
-		this.heardAt = scheduler.nanos();
-		this.outageAt = scheduler.nanos() - Duration.ofDays(1).toNanos();
-		network.listen(CopiesHeld.class, this::held);
-		network.listen(CopiesTold.class, this::told);
+		this.lastReceivedAt = scheduler.nanos();
+		this.lastOutageAt = scheduler.nanos() - Duration.ofDays(1).toNanos();
+		network.listen(CopiesHeld.class, this::receiveDigest);
+		network.listen(CopiesTold.class, this::receiveCopies);
 	}
 
 	/**
-	 * Enters this slice's messages.
+	 * Registers the messages of this exchange.
 	 * @param builder the catalog
 	 */
 	public static void register(MessageCatalog.Builder builder) {
@@ -110,83 +114,85 @@
 	}
 
 	public void start() {
-		this.heardAt = this.scheduler.nanos();
-		this.scheduler.repeat(PAUSE, this::tellNext);
-		tellNext();
+		this.lastReceivedAt = this.scheduler.nanos();
+		this.scheduler.repeat(DIGEST_INTERVAL, this::sendDigests);
+		sendDigests();
 	}
 
 	/**
-	 * Whether no peer has been heard lately.
-	 * @return true if nobody would tell this daemon what changes
+	 * Whether no message of any peer has arrived lately.
+	 * @return true if no peer would send changes to this daemon
 	 */
-	public boolean alone() {
-		return this.scheduler.nanos() - this.heardAt > ALONE.toNanos();
+	public boolean isolated() {
+		return this.scheduler.nanos() - this.lastReceivedAt > ISOLATED_AFTER.toNanos();
 	}
 
 	/**
-	 * For how long the store has not been away for those who read it, as far as heard.
+	 * The time since the store was last unavailable to a daemon that reads it, by the
+	 * reports of this daemon and its peers.
 	 * @return the time since the last sign of an outage
 	 */
 	public Duration sinceOutage() {
-		return Duration.ofNanos(this.scheduler.nanos() - this.outageAt);
+		return Duration.ofNanos(this.scheduler.nanos() - this.lastOutageAt);
 	}
 
 	/**
-	 * Tells the others of what this daemon just read from the store. The first in the
-	 * order pushes the copies themselves. Others may have read the same at the same
-	 * moment; they say a little later how far they got, and whoever was missed asks for
-	 * the rest, so that a document of half a megabyte goes to each daemon once.
+	 * Sends what this daemon just read from the store to the others. The first daemon in
+	 * the order pushes the copies themselves. Other daemons may have read the same at the
+	 * same moment; they send a digest a little later, and a peer that missed the push
+	 * requests the rest, so that a document of half a megabyte is sent to each daemon
+	 * once.
 	 * @param kind the kind of objects
 	 * @param from its copies hold every change after this revision
-	 * @param sinceOutage how long ago the store was last away for this daemon
+	 * @param sinceOutage how long ago the store was last unavailable to this daemon
 	 * @param first whether this daemon is the first in the order
 	 */
 	public void push(String kind, long from, Duration sinceOutage, boolean first) {
-		this.outageAt = Math.max(this.outageAt, this.scheduler.nanos() - sinceOutage.toNanos());
-		CopiesTold message = copies(kind, this.kinds.get(kind), from, this.delays.toMany());
+		this.lastOutageAt = Math.max(this.lastOutageAt, this.scheduler.nanos() - sinceOutage.toNanos());
+		CopiesTold message = copies(kind, this.kinds.get(kind), from, this.delays.forBroadcast());
 		if (first || message.objects().isEmpty()) {
-			spread(this.routes.firstHand(), message);
+			broadcast(this.routes.firstHand(), message);
 		}
 		else {
-			this.scheduler.schedule(SECOND_HAND, () -> this.routes.firstHand().forEach(this::tell));
+			this.scheduler.schedule(DIGEST_DELAY, () -> this.routes.firstHand().forEach(this::sendDigest));
 		}
 	}
 
-	private void spread(Collection<VmId> to, CopiesTold message) {
-		List<VmId> keepUp = new ArrayList<>();
+	private void broadcast(Collection<VmId> to, CopiesTold message) {
+		List<VmId> uncongested = new ArrayList<>();
 		to.forEach((vm) -> {
 			if (!this.network.congested(vm)) {
-				keepUp.add(vm);
+				uncongested.add(vm);
 			}
 			else if (message.objects() != null && !message.objects().isEmpty()) {
-				noteBehind(vm);
+				noteCongested(vm);
 			}
 		});
-		this.network.sendAll(keepUp, message);
+		this.network.sendAll(uncongested, message);
 	}
 
-	private void noteBehind(VmId vm) {
-		if (this.behind.isEmpty()) {
-			this.scheduler.schedule(LOOK, this::catchUp);
+	private void noteCongested(VmId vm) {
+		if (this.congestedPeers.isEmpty()) {
+			this.scheduler.schedule(CONGESTION_CHECK, this::retryCongested);
 		}
-		this.behind.add(vm);
+		this.congestedPeers.add(vm);
 	}
 
 	/**
-	 * Tells those whose connections have caught up how far the copies reach; they ask for
-	 * what they miss.
+	 * Sends a digest to the peers whose connections have drained; they request what they
+	 * miss.
 	 */
-	private void catchUp() {
-		List<VmId> again = this.behind.stream().filter((vm) -> !this.network.congested(vm)).toList();
-		again.forEach(this.behind::remove);
-		again.forEach(this::tell);
-		if (!this.behind.isEmpty()) {
-			this.scheduler.schedule(LOOK, this::catchUp);
+	private void retryCongested() {
+		List<VmId> drained = this.congestedPeers.stream().filter((vm) -> !this.network.congested(vm)).toList();
+		drained.forEach(this.congestedPeers::remove);
+		drained.forEach(this::sendDigest);
+		if (!this.congestedPeers.isEmpty()) {
+			this.scheduler.schedule(CONGESTION_CHECK, this::retryCongested);
 		}
 	}
 
 	private CopiesTold copies(String kind, FollowedKind ours, long from, SendingTimes times) {
-		return new CopiesTold(kind, from, ours.complete(), age(ours), sinceOutage().toMillis(), ours.after(from),
+		return new CopiesTold(kind, from, ours.complete(), age(ours), sinceOutage().toMillis(), ours.changedAfter(from),
 				times);
 	}
 
@@ -194,30 +200,31 @@
 		return Duration.ofNanos(this.scheduler.nanos() - ours.confirmedAt()).toMillis();
 	}
 
-	private void tellNext() {
+	private void sendDigests() {
 		List<VmId> peers = List.copyOf(this.network.connected());
-		for (int i = 0; i < Math.min(TOLD_AT_ONCE, peers.size()); i++) {
-			tell(peers.get(this.next++ % peers.size()));
+		for (int i = 0; i < Math.min(DIGESTS_PER_ROUND, peers.size()); i++) {
+			sendDigest(peers.get(this.nextPeer++ % peers.size()));
 		}
 	}
 
-	private void tell(VmId vm) {
-		tell(vm, this.kinds.entrySet().stream().map((entry) -> reach(entry.getKey(), entry.getValue())).toList());
+	private void sendDigest(VmId vm) {
+		sendDigest(vm,
+				this.kinds.entrySet().stream().map((entry) -> digest(entry.getKey(), entry.getValue())).toList());
 	}
 
-	private void tell(VmId vm, List<CopiesHeld.Held> reached) {
-		this.network.send(vm, new CopiesHeld(reached, this.delays.to(vm)));
+	private void sendDigest(VmId vm, List<CopiesHeld.Held> digests) {
+		this.network.send(vm, new CopiesHeld(digests, this.delays.forPeer(vm)));
 	}
 
-	private CopiesHeld.Held reach(String kind, FollowedKind ours) {
+	private CopiesHeld.Held digest(String kind, FollowedKind ours) {
 		return new CopiesHeld.Held(kind, ours.lastChange(), ours.complete(), age(ours));
 	}
 
-	private void held(Incarnation from, CopiesHeld message) {
-		this.heardAt = this.scheduler.nanos();
+	private void receiveDigest(Incarnation from, CopiesHeld message) {
+		this.lastReceivedAt = this.scheduler.nanos();
 		OptionalLong waited = this.delays.waitedMillis(from, message.times());
-		if (this.delays.unheard(message.times())) {
-			tell(from.vm());
+		if (this.delays.lacksEcho(message.times())) {
+			sendDigest(from.vm());
 		}
 		for (CopiesHeld.Held theirs : message.kinds()) {
 			FollowedKind ours = this.kinds.get(theirs.kind());
@@ -225,57 +232,59 @@
 				continue;
 			}
 			if (ours.lastChange() < theirs.lastChange()) {
-				tell(from.vm(), List.of(reach(theirs.kind(), ours)));
+				sendDigest(from.vm(), List.of(digest(theirs.kind(), ours)));
 				continue;
 			}
-			// What the store said of copies that reach no further holds for ours too.
+			// The store's confirmation of a peer's copies also covers ours, which are at
+			// least as new.
 			confirm(ours, theirs.ageMillis(), waited);
-			boolean older = theirs.ageMillis() - age(ours) > MUCH_OLDER.toMillis();
-			boolean more = ours.lastChange() > theirs.lastChange() || older;
-			if (more && this.network.congested(from.vm())) {
-				noteBehind(from.vm());
+			boolean stale = theirs.ageMillis() - age(ours) > STALE_BY.toMillis();
+			boolean theyMiss = ours.lastChange() > theirs.lastChange() || stale;
+			if (theyMiss && this.network.congested(from.vm())) {
+				noteCongested(from.vm());
 			}
-			else if (more) {
+			else if (theyMiss) {
 				this.network.send(from.vm(),
-						copies(theirs.kind(), ours, theirs.lastChange(), this.delays.to(from.vm())));
+						copies(theirs.kind(), ours, theirs.lastChange(), this.delays.forPeer(from.vm())));
 			}
 		}
 	}
 
-	private void told(Incarnation from, CopiesTold message) {
-		this.heardAt = this.scheduler.nanos();
+	private void receiveCopies(Incarnation from, CopiesTold message) {
+		this.lastReceivedAt = this.scheduler.nanos();
 		OptionalLong waited = this.delays.waitedMillis(from, message.times());
 		FollowedKind ours = this.kinds.get(message.kind());
 		if (ours == null) {
 			return;
 		}
 		List<FollowedObject> objects = (message.objects() != null) ? message.objects() : List.of();
-		this.outageAt = Math.max(this.outageAt, before(message.outageMillis() + waited.orElse(0)));
+		this.lastOutageAt = Math.max(this.lastOutageAt, millisAgo(message.outageMillis() + waited.orElse(0)));
 		long known = ours.lastChange();
-		if (!ours.fromPeer(message.from(), message.to(), objects)) {
-			tell(from.vm());
+		if (!ours.applyFromPeer(message.from(), message.to(), objects)) {
+			sendDigest(from.vm());
 			return;
 		}
 		long confirmedBefore = ours.confirmedAt();
 		confirm(ours, message.ageMillis(), waited);
-		boolean fresher = ours.confirmedAt() - confirmedBefore > FRESHER.toNanos();
+		boolean fresher = ours.confirmedAt() - confirmedBefore > FRESHER_BY.toNanos();
 		boolean changed = ours.lastChange() > known;
 		if (changed) {
 			this.log.belief("copies", message.kind(), "from", from, "revision", ours.lastChange(), "was", known,
 					"age_ms", message.ageMillis(), "waited_ms", waited.isPresent() ? waited.getAsLong() : null);
 		}
-		// Most daemons of a large fleet pass on nothing; collecting copies looks at each.
-		Collection<VmId> others = (changed || fresher) ? this.routes.passedOn(from.vm()) : List.of();
-		if (!others.isEmpty()) {
-			spread(others, copies(message.kind(), ours, message.from(), this.delays.toMany()));
+		// Most daemons of a large fleet forward nothing, and collecting the copies scans
+		// all of them.
+		Collection<VmId> recipients = (changed || fresher) ? this.routes.passedOn(from.vm()) : List.of();
+		if (!recipients.isEmpty()) {
+			broadcast(recipients, copies(message.kind(), ours, message.from(), this.delays.forBroadcast()));
 		}
 	}
 
 	private void confirm(FollowedKind ours, long ageMillis, OptionalLong waited) {
-		waited.ifPresent((millis) -> ours.confirm(before(ageMillis + millis)));
+		waited.ifPresent((millis) -> ours.confirm(millisAgo(ageMillis + millis)));
 	}
 
-	private long before(long millis) {
+	private long millisAgo(long millis) {
 		return this.scheduler.nanos() - Duration.ofMillis(millis).toNanos();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/QueueingDelays.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/QueueingDelays.java
@@ -10,36 +10,38 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * How long messages of peers waited on their way, in queues of the sender, of the links
- * and of this process.
+ * Estimates how long messages of peers were queued on their way: at the sender, on the
+ * links and in this process.
  *
  * <p>
- * The monotonic clocks of two processes have nothing in common. But when a peer says
- * which message of this daemon it heard last and for how long it has had it, the rest of
- * the time since then was spent under way, there and back; so its clock is behind this
- * one by at least what the message back took less all of that rest. The greatest such
- * bound comes from the quickest exchange, and every other message waited no longer than
- * the bound leaves.
+ * The monotonic clocks of two processes are unrelated. But when a peer echoes the
+ * timestamp of the last message that it received from this daemon, and states for how
+ * long it has held it, the rest of the time since then is the round trip. So its clock is
+ * behind this one by at least the difference of the timestamps of the peer's message less
+ * the whole round trip. The greatest such lower bound of the clock offset comes from the
+ * quickest exchange, and every other message was delayed by no more than its difference
+ * of timestamps exceeds the bound.
  *
  * <p>
- * Invariants: a message never waited longer than is said here, as far as the clocks keep
- * pace, whatever queues there were from the start on; what is said is too much by the
- * travel of the quickest exchange. Confined to the scheduler's thread.
+ * Invariants: the estimate is never less than the actual delay of a message, as long as
+ * the clocks run at the same rate, even if there were queues from the start on. It
+ * exceeds the delay by at most the round trip of the quickest exchange. Confined to the
+ * scheduler's thread.
  */
 final class QueueingDelays {
 
 	/**
-	 * For how long a bound holds at least, and at most twice as long: longer than queues
-	 * stand. Clocks that drift apart by 50 parts in a million change it by 60 ms in that
-	 * time.
+	 * The least time for which a bound of the clock offset is used, and half of the
+	 * longest; longer than queues last. Clocks that drift apart by 50 parts in a million
+	 * change the offset by 60 ms in the longest time.
 	 */
-	static final Duration SPAN = Duration.ofMinutes(10);
+	static final Duration WINDOW = Duration.ofMinutes(10);
 
-	/** Messages that wait for so long queue. */
-	static final Duration QUEUES = Duration.ofSeconds(1);
+	/** The delay from which messages count as queueing. */
+	static final Duration QUEUE_START = Duration.ofSeconds(1);
 
-	/** Messages that wait for less don't queue any more. */
-	static final Duration QUEUES_NO_MORE = Duration.ofMillis(200);
+	/** The delay below which messages no longer count as queueing. */
+	static final Duration QUEUE_END = Duration.ofMillis(200);
 
 	private final Incarnation self;
 
@@ -52,10 +54,10 @@
 	private final Map<VmId, Peer> peers = new HashMap<>();
 
 	/**
-	 * Makes the delays of a daemon that has heard nobody.
+	 * Creates the estimates of a daemon that has received no message yet.
 	 * @param self the daemon
 	 * @param clock its monotonic clock
-	 * @param listener told when a peer's messages begin and cease to queue
+	 * @param listener notified when messages of a peer start and stop to queue
 	 */
 	QueueingDelays(Incarnation self, Clock clock, Listener listener) {
 		this.self = self;
@@ -65,39 +67,43 @@
 	}
 
 	/**
-	 * The times to put into a message for many peers.
-	 * @return the times
+	 * The timestamps of a message for several peers.
+	 * @return the timestamps
 	 */
-	SendingTimes toMany() {
+	SendingTimes forBroadcast() {
 		return new SendingTimes(nowMillis(), null, 0, 0);
 	}
 
 	/**
-	 * The times to put into a message for one peer, who can work out from them how long
-	 * messages of this daemon wait.
+	 * The timestamps of a message for one peer, from which the peer can estimate how long
+	 * messages of this daemon are queued.
 	 * @param vm the peer's VM
-	 * @return the times
+	 * @return the timestamps
 	 */
-	SendingTimes to(VmId vm) {
+	SendingTimes forPeer(VmId vm) {
 		Peer peer = this.peers.get(vm);
 		long now = nowMillis();
-		return (peer != null) ? new SendingTimes(now, peer.incarnation, peer.sentMillis, now - peer.heardAt) : toMany();
+		return (peer != null) ? new SendingTimes(now, peer.incarnation, peer.sentMillis, now - peer.receivedAt)
+				: forBroadcast();
 	}
 
 	/**
-	 * Whether a peer hadn't heard this daemon when it sent a message for it alone.
-	 * @param times the times in the message, null from a peer that doesn't tell any
-	 * @return true if it can't know how long messages of this daemon wait
+	 * Whether a message echoes no message of this daemon.
+	 * @param times the timestamps of the message, null from a peer of a version without
+	 * them
+	 * @return true if the sender, provided that the message had one addressee, can't
+	 * estimate how long messages of this daemon are queued
 	 */
-	boolean unheard(SendingTimes times) {
-		return times != null && !this.self.equals(times.heard());
+	boolean lacksEcho(SendingTimes times) {
+		return times != null && !this.self.equals(times.addressee());
 	}
 
 	/**
-	 * Notes the arrival of a message.
+	 * Records the arrival of a message.
 	 * @param from the sender
-	 * @param times the times in the message, null from a peer that doesn't tell any
-	 * @return how long it waited at the most; empty if that isn't known
+	 * @param times the timestamps of the message, null from a peer of a version without
+	 * them
+	 * @return the upper bound of its delay; empty if none is known
 	 */
 	OptionalLong waitedMillis(Incarnation from, SendingTimes times) {
 		if (times == null) {
@@ -105,14 +111,14 @@
 		}
 		Peer peer = this.peers.get(from.vm());
 		if (peer == null || !peer.incarnation.equals(from)) {
-			long unheard = nowMillis() - 2 * SPAN.toMillis();
-			this.peers.values().removeIf((other) -> other.heardAt < unheard);
+			long expired = nowMillis() - 2 * WINDOW.toMillis();
+			this.peers.values().removeIf((other) -> other.receivedAt < expired);
 			peer = new Peer(from);
 			this.peers.put(from.vm(), peer);
 		}
-		OptionalLong waited = peer.heard(nowMillis(), times, !unheard(times));
-		if (waited.isPresent() && peer.noteQueue(waited.getAsLong())) {
-			this.listener.queues(from, peer.queues, waited.getAsLong());
+		OptionalLong waited = peer.received(nowMillis(), times, !lacksEcho(times));
+		if (waited.isPresent() && peer.updateQueueing(waited.getAsLong())) {
+			this.listener.queueChanged(from, peer.queueing, waited.getAsLong());
 		}
 		return waited;
 	}
@@ -122,7 +128,7 @@
 	}
 
 	/**
-	 * Told when a peer's messages begin and cease to queue.
+	 * A listener for the start and the end of queueing.
 	 */
 	@FunctionalInterface
 	interface Listener {
@@ -131,14 +137,14 @@
 		 * Called on the scheduler's thread.
 		 * @param from the peer
 		 * @param queue whether its messages queue now
-		 * @param waitedMillis how long the last one waited
+		 * @param waitedMillis the delay of the last message
 		 */
-		void queues(Incarnation from, boolean queue, long waitedMillis);
+		void queueChanged(Incarnation from, boolean queue, long waitedMillis);
 
 	}
 
 	/**
-	 * What is known of one start of a peer.
+	 * The clock offset and queueing state of one incarnation of a peer.
 	 */
 	private static final class Peer {
 
@@ -148,59 +154,60 @@
 
 		private long sentMillis;
 
-		private long heardAt;
+		private long receivedAt;
 
-		private boolean queues;
+		private boolean queueing;
 
-		private long spanEndsAt = UNKNOWN;
+		private long windowEndsAt = UNKNOWN;
 
-		private long behind = UNKNOWN;
+		private long offset = UNKNOWN;
 
-		private long behindInSpanBefore = UNKNOWN;
+		private long previousOffset = UNKNOWN;
 
 		private Peer(Incarnation incarnation) {
 			this.incarnation = incarnation;
 		}
 
-		private OptionalLong heard(long now, SendingTimes times, boolean answers) {
+		private OptionalLong received(long now, SendingTimes times, boolean echoes) {
 			this.sentMillis = times.sentMillis();
-			this.heardAt = now;
-			turnSpan(now);
+			this.receivedAt = now;
+			rotateWindow(now);
 			long difference = now - times.sentMillis();
-			if (difference < bound()) {
-				// No message arrives before it is sent: a clock stood still since.
-				this.behind = UNKNOWN;
-				this.behindInSpanBefore = UNKNOWN;
+			if (difference < offsetBound()) {
+				// No message arrives before it is sent, so the local clock has been
+				// suspended since the bound was measured.
+				this.offset = UNKNOWN;
+				this.previousOffset = UNKNOWN;
 			}
-			if (answers) {
-				long underWay = Math.max(0, now - times.heardSentMillis() - times.heldMillis());
-				this.behind = Math.max(this.behind, difference - underWay);
+			if (echoes) {
+				long roundTrip = Math.max(0, now - times.echoedMillis() - times.heldMillis());
+				this.offset = Math.max(this.offset, difference - roundTrip);
 			}
-			long bound = bound();
+			long bound = offsetBound();
 			return (bound != UNKNOWN) ? OptionalLong.of(difference - bound) : OptionalLong.empty();
 		}
 
-		private void turnSpan(long now) {
-			if (now >= this.spanEndsAt) {
-				this.behindInSpanBefore = this.behind;
-				this.behind = UNKNOWN;
-				this.spanEndsAt = now + SPAN.toMillis();
+		private void rotateWindow(long now) {
+			if (now >= this.windowEndsAt) {
+				this.previousOffset = this.offset;
+				this.offset = UNKNOWN;
+				this.windowEndsAt = now + WINDOW.toMillis();
 			}
 		}
 
-		private long bound() {
-			return Math.max(this.behind, this.behindInSpanBefore);
+		private long offsetBound() {
+			return Math.max(this.offset, this.previousOffset);
 		}
 
 		/**
-		 * Notes whether messages queue.
-		 * @param waited how long the last one waited, ms
-		 * @return true if a queue began or ended with it
+		 * Updates whether messages queue.
+		 * @param waited the delay of the last message, ms
+		 * @return true if queueing started or ended with it
 		 */
-		private boolean noteQueue(long waited) {
-			boolean before = this.queues;
-			this.queues = waited >= (before ? QUEUES_NO_MORE : QUEUES).toMillis();
-			return this.queues != before;
+		private boolean updateQueueing(long waited) {
+			boolean before = this.queueing;
+			this.queueing = waited >= (before ? QUEUE_END : QUEUE_START).toMillis();
+			return this.queueing != before;
 		}
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/SendingTimes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/SendingTimes.java
@@ -3,18 +3,19 @@
 import org.bramleyscale.Incarnation;
 
 /**
- * When a message was sent, and what the sender last heard of the one that it is for.
+ * The timestamps of a message: when it was sent, and an echo of the last message that the
+ * sender received from the addressee.
  *
  * <p>
- * Times are ms on the monotonic clock of the daemon named, from any moment. Immutable and
- * safe for use by multiple threads.
+ * Times are ms on the monotonic clock of the daemon named, whose origin is arbitrary.
+ * Immutable and safe for use by multiple threads.
  *
  * @param sentMillis when it was sent, by the sender's clock
- * @param heard the addressee as the sender last heard it, or null if it never did or if
- * the message is for many
- * @param heardSentMillis when that last message of the addressee was sent, by the
+ * @param addressee the incarnation of the addressee from which the sender last received a
+ * message, or null if there was none or if the message has several addressees
+ * @param echoedMillis when that last message of the addressee was sent, by the
  * addressee's clock
- * @param heldMillis for how long the sender has had it
+ * @param heldMillis the time since the sender received it
  */
-public record SendingTimes(long sentMillis, Incarnation heard, long heardSentMillis, long heldMillis) {
+public record SendingTimes(long sentMillis, Incarnation addressee, long echoedMillis, long heldMillis) {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/StoreFollower.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/StoreFollower.java
@@ -14,62 +14,76 @@
  * Follows one kind of objects in the platform's store, as one of a fleet.
  *
  * <p>
- * Each change answers every watch that waits, so if all daemons watched, a change would
- * cost as many calls as there are daemons. The first two in the fleet's order watch and
- * tell the others. The others ask only when the news they have are old, one after the
- * other in that order, so that normally the third asks and all hear of it. One that finds
- * something that no watcher told of watches for a while itself: the watchers may be
- * frozen, cut off, turned away by the store, or hold connections that have gone silent.
+ * Each change completes every open watch, so if all daemons watched, a change would cost
+ * as many calls as there are daemons. The first two daemons in the order watch and push
+ * changes to the others. The others query the store only when their copies have not been
+ * confirmed for a while, with a delay that grows with their rank, so that normally the
+ * third daemon queries and the others receive its result. A daemon that finds a change
+ * that no watcher has pushed watches for a while itself: the watchers may be frozen, cut
+ * off, refused by the store, or hold connections that have gone silent.
  *
  * <p>
- * The store is at times down, slow or without its history. Each call ends within a time
- * limit of the adapter's; after lost history the follower lists anew. After a failure the
- * watchers try again soon, and with short calls until the store answers: a silent one
- * swallows a watch for its whole length. The others ask again at a steady pace, which
- * bounds what they can be late once the store is back even if no peer tells them
- * anything.
+ * The store is at times down, slow or without its history. Each call ends within a
+ * time-out of the adapter; after lost history the follower lists all objects again. After
+ * a failure the watchers retry soon, and with short calls until the store answers, since
+ * on a silent connection a watch blocks for its whole length. The others retry at a
+ * steady interval, which bounds their delay once the store is available again even if no
+ * peer sends them anything.
  *
  * <p>
- * Invariant: copies count as confirmed for a time before which the store can't have made
- * its answer, however long that waits to be read. Confined to the scheduler's thread.
+ * Invariant: copies count as confirmed as of a time that isn't later than the time at
+ * which the store made its answer, however long the answer waits to be read. Confined to
+ * the scheduler's thread.
  */
 public final class StoreFollower {
 
-	/** Daemons that always watch: one may be gone without a delay for the others. */
+	/** The daemons that always watch: one may fail without a delay for the others. */
 	static final int WATCHERS = 2;
 
-	/** The pause between looks at whether to ask. */
-	static final Duration TURN = Duration.ofMillis(100);
+	/** The interval between checks whether to call the store. */
+	static final Duration TICK = Duration.ofMillis(100);
 
-	/** The first pause after a failure; a hiccup shall cost less than a heartbeat. */
-	static final Duration SHORTEST_PAUSE = Duration.ofMillis(50);
+	/**
+	 * The first pause after a failure; a transient one must cost less than a heartbeat.
+	 */
+	static final Duration MIN_BACKOFF = Duration.ofMillis(50);
 
-	/** The longest pause of a watcher: entries that lapsed are judged in two seconds. */
-	static final Duration LONGEST_PAUSE = Duration.ofMillis(400);
+	/**
+	 * The longest pause of a watcher: expired entries are evaluated within two seconds.
+	 */
+	static final Duration MAX_BACKOFF = Duration.ofMillis(400);
 
-	/** Before this, a daemon that starts waits for what its peers know. */
-	static final Duration PEERS_FIRST = Duration.ofMillis(500);
+	/** How long a daemon that starts waits for the copies of its peers. */
+	static final Duration PEER_WAIT = Duration.ofMillis(500);
 
-	/** A watch that others' news have overtaken for so long has gone silent. */
-	static final Duration OVERTAKEN = Duration.ofMillis(500);
+	/** How long peers' copies are ahead of a watch before it counts as silent. */
+	static final Duration STALLED_AFTER = Duration.ofMillis(500);
 
-	/** How long a daemon watches that found what no watcher had told of. */
-	static final Duration STAND_IN = Duration.ofSeconds(10);
+	/** How long a daemon watches after it found a change that no watcher had pushed. */
+	static final Duration STAND_IN_TIME = Duration.ofSeconds(10);
 
-	/** A call that takes so much longer than it should met a silent store. */
-	private static final Duration UNANSWERED = Duration.ofSeconds(1);
+	/**
+	 * A call that overruns its expected time by this has met a store that doesn't answer.
+	 */
+	private static final Duration CALL_OVERRUN = Duration.ofSeconds(1);
 
-	/** A watch that is answered at once. */
-	private static final Duration AT_ONCE = Duration.ofMillis(1);
+	/** The wait of a watch that is to return at once. */
+	private static final Duration NO_WAIT = Duration.ofMillis(1);
 
-	/** Spreads the calls of a fleet to which the store is away. */
-	private static final int SPREAD_PART = 8;
+	/**
+	 * The retry interval divided by this is the range of the jitter that spreads the
+	 * calls of the fleet while the store is unavailable.
+	 */
+	private static final int JITTER_DIVISOR = 8;
 
-	/** By how much later each next daemon asks: news need some ms to spread. */
-	private static final Duration STEP = Duration.ofMillis(100);
+	/** The delay of each next rank, since updates need some ms to propagate. */
+	private static final Duration RANK_DELAY = Duration.ofMillis(100);
 
-	/** The last ones ask together, so that news never get older than this adds. */
-	private static final int MOST_STEPS = 8;
+	/**
+	 * The most delays added; daemons of higher ranks query together, which bounds the age
+	 * of copies.
+	 */
+	private static final int MAX_RANK_DELAYS = 8;
 
 	private final String kind;
 
@@ -87,37 +101,38 @@
 
 	private final DecisionLog log;
 
-	private News news = (from) -> {
+	private UpdateListener listener = (from) -> {
 	};
 
 	private long failures;
 
-	private long failedAt;
+	private long lastFailureAt;
 
-	private long outageAt;
+	private long lastOutageAt;
 
-	private long answeredAt;
+	private long lastAnswerAt;
 
 	private long notBefore;
 
-	private long watchesUntil;
+	private long standInUntil;
 
-	private long overtakenAt;
+	private long upToDateAt;
 
-	private Asked asked;
+	private StoreCall pendingCall;
 
 	private boolean stopped;
 
 	/**
-	 * Makes a follower that isn't started.
+	 * Creates a follower that isn't started.
 	 * @param kind the kind of objects
 	 * @param scheduler the daemon's scheduler
 	 * @param random for the jitter of pauses
 	 * @param store the store
-	 * @param copies takes what is read
-	 * @param order who asks first
-	 * @param times how closely to follow
-	 * @param log takes a line when the store is lost and when it is back
+	 * @param copies updated with the store's answers
+	 * @param order the daemon's rank in the order of calls
+	 * @param times the intervals and time-outs
+	 * @param log takes a line when the store becomes unavailable and when it is available
+	 * again
 	 */
 	public StoreFollower(String kind, Scheduler scheduler, RandomGenerator random, ObjectStore store,
 			FollowedKind copies, FollowOrder order, FollowTimes times, DecisionLog log) {
@@ -129,24 +144,24 @@
 		this.order = order;
 		this.times = times;
 		this.log = log;
-		this.failedAt = scheduler.nanos() - Duration.ofDays(1).toNanos();
-		this.outageAt = this.failedAt;
-		this.answeredAt = scheduler.nanos();
-		this.watchesUntil = scheduler.nanos();
+		this.lastFailureAt = scheduler.nanos() - Duration.ofDays(1).toNanos();
+		this.lastOutageAt = this.lastFailureAt;
+		this.lastAnswerAt = scheduler.nanos();
+		this.standInUntil = scheduler.nanos();
 	}
 
 	/**
-	 * Tells of each answer of the store.
-	 * @param listener called after the copies have taken the answer
+	 * Sets the listener for answers of the store.
+	 * @param listener called after an answer has been applied to the copies
 	 */
-	public void onNews(News listener) {
-		this.news = listener;
+	public void onUpdate(UpdateListener listener) {
+		this.listener = listener;
 	}
 
 	public void start() {
 		this.notBefore = this.scheduler.nanos();
 		list(true);
-		this.scheduler.repeat(TURN, this::turn);
+		this.scheduler.repeat(TICK, this::tick);
 	}
 
 	public void stop() {
@@ -155,203 +170,207 @@
 
 	/**
 	 * Whether the last call failed.
-	 * @return true if the store is away as far as this daemon can tell
+	 * @return true if the store is unavailable to this daemon
 	 */
-	public boolean away() {
+	public boolean unavailable() {
 		return this.failures > 0;
 	}
 
 	/**
-	 * For how long the store has not failed this daemon. Its first answer after a failed
-	 * call still counts to the failure: it may tell of entries that lapsed meanwhile.
+	 * The time since the store last failed this daemon. The first answer after a failed
+	 * call still counts as part of the failure, since it may report entries that expired
+	 * meanwhile.
 	 * @return the time since the last failed call, or since the answer after it
 	 */
 	public Duration sinceFailure() {
-		return Duration.ofNanos(this.scheduler.nanos() - this.failedAt);
+		return Duration.ofNanos(this.scheduler.nanos() - this.lastFailureAt);
 	}
 
 	/**
-	 * For how long the store has not been away. A single call that is cut off, and the
-	 * next one answered, is no outage, nor is a store that others hear meanwhile.
+	 * The time since the last outage. A single failed call followed by a successful one
+	 * is no outage, and neither are failures of this daemon's calls while the store
+	 * answers others.
 	 * @return the time since the last sign of an outage, or since the first answer after
 	 * it
 	 */
 	public Duration sinceOutage() {
-		return Duration.ofNanos(this.scheduler.nanos() - this.outageAt);
+		return Duration.ofNanos(this.scheduler.nanos() - this.lastOutageAt);
 	}
 
 	/**
-	 * For how long the store has not answered.
+	 * The time for which the store has not answered.
 	 * @return the time since its last answer
 	 */
 	public Duration silence() {
-		return Duration.ofNanos(this.scheduler.nanos() - this.answeredAt);
+		return Duration.ofNanos(this.scheduler.nanos() - this.lastAnswerAt);
 	}
 
-	private void turn() {
+	private void tick() {
 		long now = this.scheduler.nanos();
-		if (this.stopped || (this.asked != null && !overtaken(now)) || now - this.notBefore < 0) {
+		if (this.stopped || (this.pendingCall != null && !stalled(now)) || now - this.notBefore < 0) {
 			return;
 		}
 		if (this.copies.complete() == 0) {
 			list(false);
 		}
-		else if (watches(now)) {
-			watch((this.failures > 0) ? AT_ONCE : this.times.watch());
+		else if (isWatcher(now)) {
+			watch((this.failures > 0) ? NO_WAIT : this.times.watch());
 		}
-		else if (now - this.copies.confirmedAt() >= patience().toNanos()) {
-			watch(AT_ONCE);
+		else if (now - this.copies.confirmedAt() >= checkDelay().toNanos()) {
+			watch(NO_WAIT);
 		}
 	}
 
 	/**
-	 * Whether the call under way is a watch on a connection that has gone silent: peers
-	 * have told of changes that it should have been answered with. Only the end of the
-	 * watch would show it otherwise, seconds later.
+	 * Whether the pending call is a watch on a connection that has gone silent: peers
+	 * have sent changes that should have completed it. Otherwise only the end of the
+	 * watch would show it, seconds later.
 	 * @param now the time
-	 * @return true if it is to be given up
+	 * @return true if the watch is to be abandoned
 	 */
-	private boolean overtaken(long now) {
-		if (this.asked.after() < 0 || this.copies.lastChange() <= this.asked.after()) {
-			this.overtakenAt = now;
+	private boolean stalled(long now) {
+		if (this.pendingCall.after() < 0 || this.copies.lastChange() <= this.pendingCall.after()) {
+			this.upToDateAt = now;
 			return false;
 		}
-		if (now - this.overtakenAt < OVERTAKEN.toNanos()) {
+		if (now - this.upToDateAt < STALLED_AFTER.toNanos()) {
 			return false;
 		}
-		this.log.belief("store", this.kind, "watch", "silent", "after", this.asked.after(), "known",
+		this.log.belief("store", this.kind, "watch", "silent", "after", this.pendingCall.after(), "known",
 				this.copies.lastChange());
 		return true;
 	}
 
-	private boolean watches(long now) {
-		return now - this.watchesUntil < 0 || this.order.rank() < WATCHERS || this.order.alone();
+	private boolean isWatcher(long now) {
+		return now - this.standInUntil < 0 || this.order.rank() < WATCHERS || this.order.isolated();
 	}
 
-	private Duration patience() {
-		int before = Math.max(0, Math.min(MOST_STEPS, this.order.rank() - WATCHERS));
-		return this.times.checkAfter().plus(STEP.multipliedBy(before));
+	private Duration checkDelay() {
+		int delays = Math.max(0, Math.min(MAX_RANK_DELAYS, this.order.rank() - WATCHERS));
+		return this.times.checkAfter().plus(RANK_DELAY.multipliedBy(delays));
 	}
 
 	/**
-	 * Reads all objects. The first time a copy that may be seconds old will do, since
-	 * peers or the first watch bring what is newer.
+	 * Reads all objects. For the first call a cached list that may be seconds old is
+	 * sufficient, since peers or the first watch bring what is newer.
 	 * @param first whether this is the daemon's first call
 	 */
 	private void list(boolean first) {
 		if (first) {
-			ask(this.store.listCached(this.kind), Asked.NO_WATCH, Duration.ZERO, (batch, askedAt) -> {
-				this.copies.list(asOfItsNewest(batch));
-				this.notBefore = this.scheduler.nanos() + PEERS_FIRST.toNanos();
+			track(this.store.listCached(this.kind), StoreCall.NO_WATCH, Duration.ZERO, (batch, startedAt) -> {
+				this.copies.applyList(upToNewestObject(batch));
+				this.notBefore = this.scheduler.nanos() + PEER_WAIT.toNanos();
 			});
 			return;
 		}
 		long known = this.copies.complete();
-		ask(this.store.list(this.kind), Asked.NO_WATCH, Duration.ZERO, (batch, askedAt) -> {
-			this.copies.list(batch);
-			told(known, askedAt);
+		track(this.store.list(this.kind), StoreCall.NO_WATCH, Duration.ZERO, (batch, startedAt) -> {
+			this.copies.applyList(batch);
+			confirm(known, startedAt);
 		});
 	}
 
 	/**
-	 * A cached list as complete up to its newest object only. The revision that the store
-	 * gives with it may be that of now; a watch from there would miss what changed since
-	 * the list was made, and the daemon would serve by an old document until the next
-	 * one.
+	 * Limits the revision of a cached list to that of its newest object. The revision
+	 * that the store returns with the list may be the current one; a watch from there
+	 * would miss what changed since the list was cached, and the daemon would use an
+	 * outdated document until the next change.
 	 * @param cached the list
 	 * @return the list with the revision of its newest object, 0 if it has none
 	 */
-	private static WatchBatch asOfItsNewest(WatchBatch cached) {
+	private static WatchBatch upToNewestObject(WatchBatch cached) {
 		long newest = cached.changed().stream().mapToLong(StoredObject::version).max().orElse(0);
 		return new WatchBatch(Math.min(newest, cached.revision()), false, cached.changed());
 	}
 
 	private void watch(Duration wait) {
 		long after = this.copies.complete();
-		boolean check = !watches(this.scheduler.nanos());
-		ask(this.store.watch(this.kind, after, wait), after, wait, (batch, askedAt) -> {
+		boolean standsIn = !isWatcher(this.scheduler.nanos());
+		track(this.store.watch(this.kind, after, wait), after, wait, (batch, startedAt) -> {
 			if (batch.gap()) {
 				this.log.belief("store", this.kind, "history", "lost", "revision", after);
 				list(false);
 				return;
 			}
 			long known = this.copies.lastChange();
-			this.copies.changes(batch);
+			this.copies.applyChanges(batch);
 			boolean changed = this.copies.lastChange() > known;
 			if (changed) {
-				this.notBefore = this.scheduler.nanos() + this.times.gather().toNanos();
+				this.notBefore = this.scheduler.nanos() + this.times.coalesce().toNanos();
 			}
-			if (changed && check) {
-				this.watchesUntil = this.scheduler.nanos() + STAND_IN.toNanos();
+			if (changed && standsIn) {
+				this.standInUntil = this.scheduler.nanos() + STAND_IN_TIME.toNanos();
 				this.log.belief("store", this.kind, "watchers", "behind", "revision", this.copies.lastChange(), "known",
 						known);
 			}
-			// Only a watch without changes was answered no sooner than it asked for.
+			// Only an empty result proves that nothing changed until the end of the
+			// watch.
 			boolean empty = batch.changed().isEmpty() && batch.deleted().isEmpty();
-			long answeredAt = empty ? askedAt + wait.toNanos() : askedAt;
-			told(after, Math.min(answeredAt, this.scheduler.nanos()));
+			long answeredAt = empty ? startedAt + wait.toNanos() : startedAt;
+			confirm(after, Math.min(answeredAt, this.scheduler.nanos()));
 		});
 	}
 
-	private void told(long from, long confirmedAt) {
+	private void confirm(long from, long confirmedAt) {
 		this.copies.confirm(confirmedAt);
-		this.news.told(from);
+		this.listener.updated(from);
 	}
 
-	private void ask(CompletableFuture<WatchBatch> call, long after, Duration wait, Reading reading) {
+	private void track(CompletableFuture<WatchBatch> call, long after, Duration wait, AnswerHandler handler) {
 		long now = this.scheduler.nanos();
-		Asked mine = new Asked(after, now, now + wait.plus(UNANSWERED).toNanos());
-		this.asked = mine;
-		this.overtakenAt = now;
+		StoreCall started = new StoreCall(after, now, now + wait.plus(CALL_OVERRUN).toNanos());
+		this.pendingCall = started;
+		this.upToDateAt = now;
 		call.whenComplete((batch, failure) -> {
-			if (this.stopped || this.asked != mine) {
+			if (this.stopped || this.pendingCall != started) {
 				return;
 			}
-			this.asked = null;
+			this.pendingCall = null;
 			if (failure != null) {
-				failed(failure, mine);
+				failed(failure, started);
 				return;
 			}
 			answered();
-			reading.take(batch, mine.askedAt());
-			turn();
+			handler.handle(batch, started.startedAt());
+			tick();
 		});
 	}
 
-	private void failed(Throwable failure, Asked call) {
+	private void failed(Throwable failure, StoreCall call) {
 		long now = this.scheduler.nanos();
-		this.failedAt = now;
+		this.lastFailureAt = now;
 		this.failures++;
-		if ((this.failures > 1 || now - call.dueAt() >= 0) && unheard(now)) {
-			this.outageAt = now;
+		if ((this.failures > 1 || now - call.dueAt() >= 0) && unconfirmed(now)) {
+			this.lastOutageAt = now;
 		}
 		if (this.failures == 1) {
 			this.log.belief("store", this.kind, "state", "lost", "cause", failure.getMessage(), "revision",
 					this.copies.complete());
 		}
-		boolean needed = this.copies.complete() == 0 || watches(now);
-		this.notBefore = needed ? now + pauseOfWatcher() : call.askedAt() + paceOfOthers();
-		this.scheduler.schedule(Duration.ofNanos(this.notBefore - now), this::turn);
+		boolean retrySoon = this.copies.complete() == 0 || isWatcher(now);
+		this.notBefore = retrySoon ? now + watcherBackoff() : call.startedAt() + retryInterval();
+		this.scheduler.schedule(Duration.ofNanos(this.notBefore - now), this::tick);
 	}
 
 	/**
-	 * Whether nobody has heard the store for a while. It may turn single daemons away
-	 * while it serves the others and the endpoints, whose entries don't lapse then.
+	 * Whether no daemon has received an answer of the store for a while. The store may
+	 * refuse single daemons while it serves the others and the endpoints, whose entries
+	 * don't expire then.
 	 * @param now the time
-	 * @return true if the store is away for all, as far as heard
+	 * @return true if the store is unavailable to all daemons, as far as this one knows
 	 */
-	private boolean unheard(long now) {
-		return now - this.copies.confirmedAt() > this.times.askAgain().toNanos();
+	private boolean unconfirmed(long now) {
+		return now - this.copies.confirmedAt() > this.times.retryAfter().toNanos();
 	}
 
-	private long pauseOfWatcher() {
-		long pause = Math.min(SHORTEST_PAUSE.toNanos() << Math.min(this.failures - 1, 10), LONGEST_PAUSE.toNanos());
+	private long watcherBackoff() {
+		long pause = Math.min(MIN_BACKOFF.toNanos() << Math.min(this.failures - 1, 10), MAX_BACKOFF.toNanos());
 		return pause / 2 + this.random.nextLong(pause);
 	}
 
-	private long paceOfOthers() {
-		long pace = this.times.askAgain().toNanos();
-		return pace + this.random.nextLong(pace / SPREAD_PART);
+	private long retryInterval() {
+		long interval = this.times.retryAfter().toNanos();
+		return interval + this.random.nextLong(interval / JITTER_DIVISOR);
 	}
 
 	private void answered() {
@@ -359,56 +378,55 @@
 		if (this.failures > 0) {
 			this.log.belief("store", this.kind, "state", "back", "failures", this.failures, "away_ms",
 					silence().toMillis());
-			this.failedAt = now;
+			this.lastFailureAt = now;
 		}
-		if (this.failures > 0 && unheard(now)) {
-			this.outageAt = now;
+		if (this.failures > 0 && unconfirmed(now)) {
+			this.lastOutageAt = now;
 		}
 		this.failures = 0;
-		this.answeredAt = now;
+		this.lastAnswerAt = now;
 	}
 
 	/**
-	 * Told when the store has answered.
+	 * A listener for answers of the store.
 	 */
 	@FunctionalInterface
-	public interface News {
+	public interface UpdateListener {
 
 		/**
 		 * Called on the scheduler's thread.
 		 * @param from the copies hold every change after this revision
 		 */
-		void told(long from);
+		void updated(long from);
 
 	}
 
 	/**
-	 * Takes an answer into the copies.
+	 * Applies an answer to the copies.
 	 */
 	@FunctionalInterface
-	private interface Reading {
+	private interface AnswerHandler {
 
-		void take(WatchBatch batch, long askedAt);
+		void handle(WatchBatch batch, long startedAt);
 
 	}
 
 	/**
-	 * The call under way. Compared by identity: the answer of one that was given up is no
-	 * longer waited for.
+	 * The pending call. Compared by identity: the answer of an abandoned call is ignored.
 	 */
-	private static final class Asked {
+	private static final class StoreCall {
 
 		private static final long NO_WATCH = -1;
 
 		private final long after;
 
-		private final long askedAt;
+		private final long startedAt;
 
 		private final long dueAt;
 
-		private Asked(long after, long askedAt, long dueAt) {
+		private StoreCall(long after, long startedAt, long dueAt) {
 			this.after = after;
-			this.askedAt = askedAt;
+			this.startedAt = startedAt;
 			this.dueAt = dueAt;
 		}
 
@@ -416,8 +434,8 @@
 			return this.after;
 		}
 
-		private long askedAt() {
-			return this.askedAt;
+		private long startedAt() {
+			return this.startedAt;
 		}
 
 		private long dueAt() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Copies of platform objects, kept up to date by watch and, when the platform turns a
- * daemon away, by peers.
+ * Copies of platform objects, kept up to date by watches of the platform's store and,
+ * when it refuses a daemon's calls, by peers.
  */
 package org.bramleyscale.internal.gateway.follow;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/BackendEntries.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/BackendEntries.java
@@ -15,13 +15,13 @@
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 
 /**
- * Takes the entries of endpoints as they change.
+ * Applies changes of endpoint entries to the table of backends.
  *
  * <p>
- * Invariants: an entry that can't be read names no endpoint, also where it could be read
- * before, since nobody knows what it would say; the other entries hold. Nothing that was
- * remembered of one start of an endpoint counts for the next. Confined to the scheduler's
- * thread.
+ * Invariants: an entry that can't be read provides no endpoint, even if an earlier
+ * version could be read, since its current content is unknown; the other entries stay in
+ * use. No state of one start of an endpoint applies to its next start. Confined to the
+ * scheduler's thread.
  */
 final class BackendEntries {
 
@@ -42,14 +42,14 @@
 	private final Set<String> unreadable = new HashSet<>();
 
 	/**
-	 * Makes the taker of entries.
+	 * Creates the listener for entries.
 	 * @param documents reads entries
-	 * @param backends gets the endpoints
-	 * @param health forgets starts that are over
-	 * @param loads forgets starts that are over
-	 * @param afterOutage whether an entry off the list may have lapsed while the store
-	 * was away
-	 * @param log takes what can't be read
+	 * @param backends the table of endpoints
+	 * @param health its state of an earlier start is discarded
+	 * @param loads their state of an earlier start is discarded
+	 * @param afterOutage whether a removed entry may have expired during an outage of the
+	 * store
+	 * @param log takes a line when an entry can't be read
 	 */
 	BackendEntries(Documents documents, BackendTable backends, BackendHealth health, LoadBoard loads,
 			BooleanSupplier afterOutage, DecisionLog log) {
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	 * Takes an entry's new copy, or its deletion.
+	 * Applies the new copy of an entry, or its deletion.
 	 * @param object the copy
 	 */
 	void changed(FollowedObject object) {
@@ -76,35 +76,35 @@
 			return;
 		}
 		try {
-			take(object.name(), this.documents.backend(object.name(), object.value()));
+			apply(object.name(), this.documents.backend(object.name(), object.value()));
 		}
 		catch (Documents.DocumentException ex) {
-			unreadable(object, ex.getMessage());
+			markUnreadable(object, ex.getMessage());
 		}
 	}
 
-	private void take(String name, Backend backend) {
+	private void apply(String name, Backend backend) {
 		this.unreadable.remove(name);
-		EndpointStart before = this.starts.put(name, backend.start());
-		if (before != null && !before.equals(backend.start())) {
-			forget(before);
+		EndpointStart previous = this.starts.put(name, backend.start());
+		if (previous != null && !previous.equals(backend.start())) {
+			forget(previous);
 		}
 		this.backends.put(backend);
 	}
 
 	/**
-	 * Uses an endpoint no more until its entry can be read again. Its start is kept: it
-	 * may well be the same then.
+	 * Removes an endpoint until its entry can be read again. Its start is kept, since it
+	 * may be the same then.
 	 * @param object the entry
-	 * @param reason what is wrong with it
+	 * @param reason why it can't be read
 	 */
-	private void unreadable(FollowedObject object, String reason) {
+	private void markUnreadable(FollowedObject object, String reason) {
 		EndpointStart start = this.starts.get(object.name());
 		if (start != null) {
 			this.backends.remove(start.id(), false);
 		}
 		if (this.unreadable.add(object.name())) {
-			// Once, not each time that its writer writes it anew.
+			// Logged once until the entry can be read again, not for each version.
 			this.log.belief("entry", object.name(), "readable", false, "revision", object.revision(), "reason", reason);
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/CatalogEntry.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/CatalogEntry.java
@@ -7,11 +7,11 @@
 import org.jboss.logging.Logger;
 
 /**
- * Takes the operator's document into force.
+ * Applies the operator's document.
  *
  * <p>
- * Invariant: a document that can't be read, or is gone, changes nothing. Confined to the
- * scheduler's thread.
+ * Invariant: a document that can't be read or was deleted changes nothing. Confined to
+ * the scheduler's thread.
  */
 final class CatalogEntry {
 
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * Takes an object's new copy, or its deletion.
+	 * Applies the new copy of an object, or its deletion.
 	 * @param object the copy
 	 */
 	void changed(FollowedObject object) {
@@ -39,8 +39,8 @@
 		}
 		try {
 			Catalog catalog = this.documents.catalog(object.value());
-			boolean taken = this.catalogs.offer(catalog);
-			this.log.belief("catalog", catalog.version(), "in_force", taken, "revision", object.revision(), "routes",
+			boolean applied = this.catalogs.offer(catalog);
+			this.log.belief("catalog", catalog.version(), "in_force", applied, "revision", object.revision(), "routes",
 					catalog.routeCount());
 		}
 		catch (Documents.DocumentException ex) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/DaemonRecord.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/DaemonRecord.java
@@ -8,7 +8,8 @@
 import org.bramleyscale.internal.peer.VmCapacity;
 
 /**
- * What a daemon writes about itself into the platform's store, so that others find it.
+ * The record by which a daemon registers in the platform's store, so that others can
+ * discover it.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
@@ -17,14 +18,14 @@
  * @param dataCentre where it runs
  * @param peerAddress {@code host:port} for peers
  * @param httpAddress {@code host:port} for callers
- * @param leaving true if it is being taken away
+ * @param leaving true if it is shutting down
  * @param start the number of its start; see {@link #startAfter}
- * @param capacity how large its VM is
+ * @param capacity the capacity of its VM
  */
 record DaemonRecord(String vm, String dataCentre, String peerAddress, String httpAddress, boolean leaving, long start,
 		VmCapacity capacity) {
 
-	/** The kind of objects that holds daemons. */
+	/** The kind of objects under which daemons register. */
 	static final String KIND = "daemons";
 
 	private static final ObjectMapper mapper = new ObjectMapper()
@@ -43,14 +44,15 @@
 			return mapper.writeValueAsBytes(this);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("a daemon's record can't be written", ex);
+			throw new IllegalStateException("the record of a daemon can't be serialized", ex);
 		}
 	}
 
 	/**
-	 * A start number greater than this one. The time of day may step back by seconds; a
-	 * daemon that starts then with a smaller number than before would be taken for a
-	 * message from the past, and would never be met again.
+	 * Returns a start number greater than this one. The time of day may step back by
+	 * seconds; a daemon that starts then with a smaller number than before would be
+	 * mistaken for an earlier start of itself, and peers would go on ignoring its
+	 * messages.
 	 * @param wallMillis the time of day
 	 * @return the greater of the time of day and the number after this one
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/Documents.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/Documents.java
@@ -4,10 +4,11 @@
 import org.bramleyscale.internal.gateway.catalog.Catalog;
 
 /**
- * Reads the platform's documents into the product's types.
+ * Converts the platform's documents to the gateway's types.
  *
  * <p>
- * Implementations translate and decide nothing. Safe for use by multiple threads.
+ * Implementations convert documents without any further decision. Safe for use by
+ * multiple threads.
  */
 public interface Documents {
 
@@ -54,9 +55,9 @@
 		private static final long serialVersionUID = 1L;
 
 		/**
-		 * Makes the exception.
-		 * @param message names the document, the field and the offending value
-		 * @param cause what the parser said, or null
+		 * Creates the exception.
+		 * @param message names the document, the field and the invalid value
+		 * @param cause the parser's exception, or null
 		 */
 		public DocumentException(String message, Throwable cause) {
 			super(message, cause);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/EntryList.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/EntryList.java
@@ -20,44 +20,46 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Tells callers which daemons to use.
+ * Selects the daemons that callers should use, the entry daemons.
  *
  * <p>
- * Membership takes seconds to be sure that a daemon is dead, and each caller that is sent
- * to it in the meantime loses one of its two tries. A killed daemon's connections end at
- * once, and a frozen one stops telling its work, so a daemon with which the connection
- * was lost or that isn't heard isn't named, unless nobody else is left. Which of the
- * others are named {@link EntrySelection} says. A daemon that has just started and knows
- * nobody names nobody, so that callers ask another or keep the answer that they have.
- * Invariant: once it has been there for a moment, the list is never empty. Confined to
- * the scheduler's thread.
+ * Membership takes seconds to declare a daemon dead, and each caller that is sent to a
+ * dead one in the meantime loses one of its two tries. The connections of a killed daemon
+ * are closed at once, and a frozen one stops sending its load, so a daemon whose
+ * connection was lost or that is unresponsive isn't returned, unless no other is left.
+ * {@link EntrySelection} selects among the others. A daemon that has just started and has
+ * not discovered any other returns no address, so that callers query another daemon or
+ * keep the answer that they have. Invariant: once the daemon has been up for
+ * {@link #LARGEST_DISCOVERY_TIME}, the list is never empty. Confined to the scheduler's
+ * thread.
  */
 final class EntryList {
 
-	/** The most addresses in an answer: what callers take. */
-	static final int MOST = 64;
+	/** The most addresses in an answer, which is what callers accept. */
+	static final int MAX_ADDRESSES = 64;
 
-	/** Names in a line of the log; a fleet may have 1,700 daemons. */
-	private static final int MOST_LOGGED = 16;
+	/** The most VMs in a line of the log; a fleet may have 1,700 daemons. */
+	private static final int MAX_LOGGED = 16;
 
-	/** A connection that is replaced by another is missing for less than this. */
-	private static final Duration REPLACED = Duration.ofMillis(400);
+	/** The time within which a connection that is replaced by another is open again. */
+	private static final Duration RECONNECT_GRACE = Duration.ofMillis(400);
 
 	/**
-	 * For so long a daemon that has just started names nobody while it hasn't read the
-	 * list of VMs, or has met none of those on it. After a loss of all power the small
-	 * VMs of a fleet came back two seconds after the large ones; each named only itself
-	 * to who asked it, and 12 of 19 callers of the next two seconds had their first event
-	 * after 1.3 s in the middle.
+	 * The time after its start during which a daemon returns no address while it hasn't
+	 * read the list of VMs, or has discovered none of those on it. After a loss of all
+	 * power the small VMs of a fleet came back two seconds after the large ones; each
+	 * returned only itself to its callers, and for 12 of the 19 callers of the next two
+	 * seconds the median time to the first event was 1.3 s.
 	 */
-	private static final Duration ACQUAINTED = Duration.ofSeconds(1);
+	private static final Duration DISCOVERY_TIME = Duration.ofSeconds(1);
 
 	/**
-	 * For so long it names nobody either while the list has VMs of a larger size than any
-	 * that it has met. Small daemons meet each other first: those that named only small
-	 * ones kept half of the callers there for three seconds.
+	 * The time after its start during which a daemon returns no address while the list
+	 * has VMs of a larger size class than any that it has discovered. Small daemons
+	 * discover each other first: those that returned only small ones kept half of the
+	 * callers there for three seconds.
 	 */
-	static final Duration LARGEST_MET = Duration.ofSeconds(2);
+	static final Duration LARGEST_DISCOVERY_TIME = Duration.ofSeconds(2);
 
 	private final Clock clock;
 
@@ -67,27 +69,27 @@
 
 	private final PeerNetwork network;
 
-	private final FleetKnowledge knowledge;
+	private final FleetView view;
 
 	private final DecisionLog log;
 
-	private Set<VmId> lastNamed = Set.of();
+	private Set<VmId> lastEntries = Set.of();
 
 	private final Map<VmId, Long> lastConnected = new HashMap<>();
 
 	private final Random random = new Random();
 
-	EntryList(Clock clock, MembershipView membership, PeerNetwork network, FleetKnowledge knowledge, DecisionLog log) {
+	EntryList(Clock clock, MembershipView membership, PeerNetwork network, FleetView view, DecisionLog log) {
 		this.clock = clock;
 		this.startedAt = clock.nanos();
 		this.membership = membership;
 		this.network = network;
-		this.knowledge = knowledge;
+		this.view = view;
 		this.log = log;
 	}
 
 	/**
-	 * Notes who is connected; called several times a second.
+	 * Records the connected daemons; called several times a second.
 	 */
 	void observe() {
 		Set<VmId> connected = this.network.connected();
@@ -96,85 +98,86 @@
 	}
 
 	/**
-	 * The daemons that callers should use.
-	 * @param selfLeaves whether this daemon leaves
+	 * Returns the daemons that callers should use.
+	 * @param selfLeaves whether this daemon is shutting down
 	 * @return {@code host:port} of each, none if this daemon has just started
 	 */
 	List<String> addresses(boolean selfLeaves) {
-		List<Member> sure = new ArrayList<>();
-		List<Member> others = new ArrayList<>();
+		List<Member> reachable = new ArrayList<>();
+		List<Member> doubtful = new ArrayList<>();
 		VmId self = this.membership.self().vm();
 		for (Member member : this.membership.eligible()) {
 			if (!member.vm().equals(self)) {
-				boolean alive = member.state() == Member.State.ALIVE && !lost(member.vm());
-				(alive ? sure : others).add(member);
+				boolean alive = member.state() == Member.State.ALIVE && !isUnresponsive(member.vm());
+				(alive ? reachable : doubtful).add(member);
 			}
 		}
-		if (!selfLeaves && this.knowledge.informed()) {
-			this.membership.member(self).ifPresent(sure::add);
+		if (!selfLeaves && this.view.configured()) {
+			this.membership.member(self).ifPresent(reachable::add);
 		}
-		if (isStranger(sure)) {
+		if (isDiscovering(reachable)) {
 			return List.of();
 		}
-		List<Member> usable = new ArrayList<>(sure.isEmpty() ? others : sure);
+		List<Member> usable = new ArrayList<>(reachable.isEmpty() ? doubtful : reachable);
 		if (usable.isEmpty()) {
 			this.membership.member(self).ifPresent(usable::add);
 		}
-		return chosen(usable);
+		return select(usable);
 	}
 
 	/**
-	 * Whether this daemon has just started and knows too few others to send callers to.
-	 * @param sure the daemons that it would name
-	 * @return true if others should be asked
+	 * Whether this daemon has just started and has discovered too few others to send
+	 * callers to them.
+	 * @param reachable the daemons that it would return
+	 * @return true if callers should query other daemons
 	 */
-	private boolean isStranger(List<Member> sure) {
-		OptionalInt largestListed = this.knowledge.largestListed();
-		long since = this.clock.nanos() - this.startedAt;
-		boolean fresh = since < ACQUAINTED.toNanos();
+	private boolean isDiscovering(List<Member> reachable) {
+		OptionalInt largestListed = this.view.largestListed();
+		long uptime = this.clock.nanos() - this.startedAt;
+		boolean justStarted = uptime < DISCOVERY_TIME.toNanos();
 		if (largestListed.isEmpty()) {
-			return fresh;
+			return justStarted;
 		}
-		if (largestListed.getAsInt() == FleetKnowledge.NO_OTHER || since >= LARGEST_MET.toNanos()) {
+		if (largestListed.getAsInt() == FleetView.NO_OTHER_VM || uptime >= LARGEST_DISCOVERY_TIME.toNanos()) {
 			return false;
 		}
-		boolean alone = fresh && sure.size() <= 1;
-		int largest = sure.stream().mapToInt((member) -> member.capacity().sizeClass()).max().orElse(0);
+		boolean alone = justStarted && reachable.size() <= 1;
+		int largest = reachable.stream().mapToInt((member) -> member.capacity().sizeClass()).max().orElse(0);
 		return alone || largest < largestListed.getAsInt();
 	}
 
 	/**
-	 * Notes whom callers are sent to, when that changes.
-	 * @param entries the daemons chosen
-	 * @param usable those among which they were chosen
+	 * Logs the selected daemons when they change.
+	 * @param entries the selected daemons
+	 * @param usable the daemons among which they were selected
 	 */
-	private void note(List<Member> entries, List<Member> usable) {
-		Set<VmId> named = new TreeSet<>(Comparator.comparing(VmId::value));
-		entries.forEach((member) -> named.add(member.vm()));
-		if (!named.equals(this.lastNamed)) {
-			this.lastNamed = named;
-			this.log.belief("entries", named.size(), "named", named.stream().limit(MOST_LOGGED).toList(), "usable",
-					usable.size(), "known", this.membership.members().size(), "under_way", this.knowledge.underWay());
+	private void logChange(List<Member> entries, List<Member> usable) {
+		Set<VmId> names = new TreeSet<>(Comparator.comparing(VmId::value));
+		entries.forEach((member) -> names.add(member.vm()));
+		if (!names.equals(this.lastEntries)) {
+			this.lastEntries = names;
+			this.log.belief("entries", names.size(), "named", names.stream().limit(MAX_LOGGED).toList(), "usable",
+					usable.size(), "known", this.membership.members().size(), "under_way", this.view.activeRequests());
 		}
 	}
 
-	private List<String> chosen(List<Member> usable) {
-		List<String> chosen = new ArrayList<>();
-		List<Member> entries = this.knowledge.selection().among(usable, this.knowledge.underWay());
-		note(entries, usable);
-		for (Member member : EntrySelection.draw(entries, this.random)) {
-			chosen.add(member.httpAddress());
+	private List<String> select(List<Member> usable) {
+		List<String> addresses = new ArrayList<>();
+		List<Member> entries = this.view.selection().select(usable, this.view.activeRequests());
+		logChange(entries, usable);
+		for (Member member : EntrySelection.sample(entries, this.random)) {
+			addresses.add(member.httpAddress());
 		}
-		if (chosen.size() > MOST) {
-			Collections.shuffle(chosen, this.random);
+		if (addresses.size() > MAX_ADDRESSES) {
+			Collections.shuffle(addresses, this.random);
 		}
-		return chosen.subList(0, Math.min(MOST, chosen.size()));
+		return addresses.subList(0, Math.min(MAX_ADDRESSES, addresses.size()));
 	}
 
-	private boolean lost(VmId vm) {
-		Long last = this.lastConnected.get(vm);
-		boolean cut = last != null && this.clock.nanos() - last > REPLACED.toNanos();
-		return cut || this.knowledge.unheard(vm);
+	private boolean isUnresponsive(VmId vm) {
+		Long lastSeen = this.lastConnected.get(vm);
+		boolean connectionLost = lastSeen != null && this.clock.nanos() - lastSeen > RECONNECT_GRACE.toNanos();
+		return connectionLost || this.view.unresponsive(vm);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FirstAddresses.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FirstAddresses.java
@@ -10,21 +10,22 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Waits until a daemon that has just started has somebody to name to callers.
+ * Waits until a daemon that has just started has an address to return to callers.
  *
  * <p>
  * A daemon that starts on 0.12 of a core takes a second from its first open port to its
- * first answer, and callers wait that long for each of three daemons that they ask for
- * addresses; one whose port is closed sends them on at once. So the port for addresses
- * opens after this. Used by one thread, which isn't the scheduler's. <pre>
+ * first answer, and callers wait that long for each of three daemons that they query for
+ * addresses, while a closed port makes them try the next daemon at once. So the port for
+ * addresses is opened after this wait. Used by one thread, which isn't the scheduler's.
+ * <pre>
  * node.start();
  * node.firstAddresses().await();
  * </pre>
  */
 public final class FirstAddresses {
 
-	/** The pause between looks; short prompts have 300 ms for the whole way. */
-	private static final Duration LOOK = Duration.ofMillis(20);
+	/** The interval between checks; short prompts have 300 ms for their whole path. */
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
 	private final Scheduler scheduler;
 
@@ -36,19 +37,19 @@
 	}
 
 	/**
-	 * Waits until there is an address, or until the daemon names somebody whomever it has
-	 * met.
+	 * Waits until the daemon has an address to return, or until it would return one
+	 * whatever daemons it has discovered.
 	 * @throws InterruptedException if the thread is interrupted
-	 * @throws ExecutionException if the daemon can't say whom it would name
+	 * @throws ExecutionException if the addresses can't be determined
 	 */
 	public void await() throws InterruptedException, ExecutionException {
-		long end = this.scheduler.nanos() + EntryList.LARGEST_MET.toNanos();
-		while (!known() && this.scheduler.nanos() - end < 0) {
-			TimeUnit.NANOSECONDS.sleep(LOOK.toNanos());
+		long end = this.scheduler.nanos() + EntryList.LARGEST_DISCOVERY_TIME.toNanos();
+		while (!available() && this.scheduler.nanos() - end < 0) {
+			TimeUnit.NANOSECONDS.sleep(POLL_INTERVAL.toNanos());
 		}
 	}
 
-	private boolean known() throws InterruptedException, ExecutionException {
+	private boolean available() throws InterruptedException, ExecutionException {
 		return CompletableFuture.supplyAsync(() -> !this.addresses.get().isEmpty(), this.scheduler::execute).get();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetDirectory.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetDirectory.java
@@ -20,21 +20,21 @@
 import org.bramleyscale.internal.peer.PeerDirectory;
 
 /**
- * With whom a daemon that relays requests keeps connections.
+ * Determines the peers with which a daemon that relays requests keeps connections.
  *
  * <p>
- * In a small fleet with every daemon, since all of them send to the same endpoints and
- * have to know each other's work there; in a large one with those that membership wants
- * and between the relays and the other daemons of a data centre. Confined to the
- * scheduler's thread.
+ * In a small fleet these are all daemons, since all of them send to the same endpoints
+ * and need each other's load there. In a large one they are those that membership wants,
+ * and relays are connected to each other and to the other daemons of their data centre.
+ * Confined to the scheduler's thread.
  */
 final class FleetDirectory implements PeerDirectory, LoadRoutes, NewsRoutes, LimitHolders {
 
 	/**
-	 * Up to so many daemons all connect with all. At this size each sends 230 tellings a
+	 * The most daemons that form a full mesh. At this size each sends 230 load updates a
 	 * second, 3 % of a core at 0.1 ms each.
 	 */
-	static final int LARGEST_MESH = 24;
+	static final int MAX_MESH_SIZE = 24;
 
 	private static final RendezvousHash<VmId> HASH = new RendezvousHash<>(VmId::value);
 
@@ -46,9 +46,9 @@
 
 	@Override
 	public Set<VmId> wanted() {
-		Set<VmId> wanted = byName(this.membership.directory().wanted());
+		Set<VmId> wanted = sortedByName(this.membership.directory().wanted());
 		if (flat()) {
-			present().forEach((member) -> wanted.add(member.vm()));
+			notDead().forEach((member) -> wanted.add(member.vm()));
 		}
 		else {
 			wanted.addAll(this.membership.relays());
@@ -62,7 +62,7 @@
 
 	@Override
 	public boolean flat() {
-		return this.membership.members().size() <= LARGEST_MESH;
+		return this.membership.members().size() <= MAX_MESH_SIZE;
 	}
 
 	@Override
@@ -79,7 +79,7 @@
 
 	@Override
 	public Collection<VmId> near() {
-		return others(present().filter((member) -> member.dataCentre().equals(this.membership.dataCentre())));
+		return others(notDead().filter((member) -> member.dataCentre().equals(this.membership.dataCentre())));
 	}
 
 	@Override
@@ -95,14 +95,14 @@
 	@Override
 	public Collection<VmId> firstHand() {
 		if (flat()) {
-			return others(present());
+			return others(notDead());
 		}
-		return isRelay() ? passedOnByRelay(near()) : relays();
+		return isRelay() ? relayTargets(near()) : relays();
 	}
 
 	/**
-	 * {@inheritDoc} What comes from another data centre came from a relay there, which
-	 * tells the other relays itself.
+	 * {@inheritDoc} An update from another data centre was sent by a relay there, which
+	 * sends it to the other relays itself.
 	 */
 	@Override
 	public Collection<VmId> passedOn(VmId from) {
@@ -111,21 +111,21 @@
 		}
 		List<VmId> near = new ArrayList<>(near());
 		near.remove(from);
-		boolean fromNear = dataCentre(from).equals(this.membership.dataCentre().value());
-		return fromNear ? passedOnByRelay(near) : near;
+		boolean fromOwnDataCentre = dataCentre(from).equals(this.membership.dataCentre().value());
+		return fromOwnDataCentre ? relayTargets(near) : near;
 	}
 
-	private Collection<VmId> passedOnByRelay(Collection<VmId> near) {
-		List<VmId> all = new ArrayList<>(near);
-		all.addAll(remoteRelays());
-		return all;
+	private Collection<VmId> relayTargets(Collection<VmId> near) {
+		List<VmId> targets = new ArrayList<>(near);
+		targets.addAll(remoteRelays());
+		return targets;
 	}
 
 	/**
-	 * How callers' daemons are chosen.
-	 * @return the choice, given who relays now
+	 * Returns how entry daemons are selected.
+	 * @return the selection, by the current relays
 	 */
-	EntrySelection entries() {
+	EntrySelection entrySelection() {
 		return new EntrySelection(flat(), allRelays());
 	}
 
@@ -135,29 +135,32 @@
 	@Override
 	public int rank(EndpointStart endpoint) {
 		Set<VmId> relays = flat() ? Set.of() : allRelays();
-		List<Member> used = this.membership.members()
+		List<Member> candidates = this.membership.members()
 			.stream()
 			.filter((member) -> member.state() == Member.State.ALIVE)
 			.filter((member) -> relays.isEmpty() || relays.contains(member.vm()))
 			.toList();
-		int largest = used.stream().mapToInt((member) -> member.capacity().sizeClass()).max().orElse(0);
+		int largest = candidates.stream().mapToInt((member) -> member.capacity().sizeClass()).max().orElse(0);
 		List<VmId> ranked = HASH.ranked(endpoint.toString(),
-				used.stream().filter((member) -> member.capacity().sizeClass() == largest).map(Member::vm).toList());
+				candidates.stream()
+					.filter((member) -> member.capacity().sizeClass() == largest)
+					.map(Member::vm)
+					.toList());
 		int rank = ranked.indexOf(this.membership.self().vm());
 		return (rank < 0) ? NO_RANK : rank;
 	}
 
 	private Set<VmId> allRelays() {
-		Set<VmId> relays = byName(this.membership.relays());
+		Set<VmId> relays = sortedByName(this.membership.relays());
 		relays.addAll(this.membership.remoteRelays());
 		return relays;
 	}
 
 	/**
-	 * This daemon's place among those that ask the store: relays first, since they reach
-	 * all others in the fewest steps, the largest of them at the front, in an order that
-	 * is the same for all of them; then the others, those of different data centres side
-	 * by side.
+	 * The rank of this daemon in the order in which daemons query the store: relays
+	 * first, since they reach all others in the fewest hops, sorted by size class from
+	 * the largest, in an order that is the same on all of them; then the other daemons,
+	 * those of different data centres in parallel.
 	 * @return 0 for the first
 	 */
 	int storeRank() {
@@ -174,7 +177,7 @@
 		return this.membership.member(vm).map((member) -> member.capacity().sizeClass()).orElse(0);
 	}
 
-	private static Set<VmId> byName(Collection<VmId> vms) {
+	private static Set<VmId> sortedByName(Collection<VmId> vms) {
 		Set<VmId> sorted = new TreeSet<>(Comparator.comparing(VmId::value));
 		sorted.addAll(vms);
 		return sorted;
@@ -184,7 +187,7 @@
 		return members.map(Member::vm).filter((vm) -> !vm.equals(this.membership.self().vm())).toList();
 	}
 
-	private Stream<Member> present() {
+	private Stream<Member> notDead() {
 		return this.membership.members().stream().filter((member) -> member.state() != Member.State.DEAD);
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetStatus.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetStatus.java
@@ -17,7 +17,7 @@
 import org.bramleyscale.internal.status.EndpointStatus;
 
 /**
- * Puts what the slices believe of daemons and endpoints into the words of the status.
+ * Converts this daemon's state of daemons and endpoints to the records of the status.
  *
  * <p>
  * Confined to the loop's thread.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewayNode.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewayNode.java
@@ -48,24 +48,25 @@
 import org.bramleyscale.internal.status.StatusSummary;
 
 /**
- * One daemon that relays requests: its slices, their sockets and their thread.
+ * One daemon that relays requests: its components, their sockets and their thread.
  *
  * <p>
- * Invariant: slices are called on the loop's thread only. The public methods may be
+ * Invariant: components are called on the loop's thread only. The public methods may be
  * called from any other thread, except where they say otherwise. <pre>
- * GatewayNode node = GatewayNode.create(settings, parts, ended);
+ * GatewayNode node = GatewayNode.create(settings, parts, onStopped);
  * node.start();
  * </pre>
  */
 public final class GatewayNode {
 
-	/** The pause between sweeps of what has lapsed or was lost. */
-	private static final Duration SWEEP = Duration.ofMillis(100);
+	/** The interval between sweeps of expired state and lost connections. */
+	private static final Duration SWEEP_INTERVAL = Duration.ofMillis(100);
 
 	/**
-	 * For so long after an outage of the store, entries off its list count as lapsed.
+	 * The time after an outage of the store in which entries removed from its list count
+	 * as expired.
 	 */
-	private static final Duration OUTAGE_MEMORY = Duration.ofSeconds(3);
+	private static final Duration OUTAGE_WINDOW = Duration.ofSeconds(3);
 
 	private final GatewaySettings settings;
 
@@ -116,7 +117,7 @@
 	private final Registration registration;
 
 	private GatewayNode(GatewaySettings settings, Parts parts, RegisteredDaemons daemons, Registration registration,
-			Runnable ended) {
+			Runnable onStopped) {
 		this.settings = settings;
 		this.parts = parts;
 		this.registration = registration;
@@ -129,10 +130,10 @@
 		this.health = new BackendHealth(loop, log);
 		this.loads = new LoadBoard(loop);
 		FollowedKind backendKind = new FollowedKind(new BackendEntries(parts.documents(), this.backends, this.health,
-				this.loads, this::mayHaveLapsed, log)::changed);
-		FollowTimes closely = FollowTimes.within(settings.changeWithin());
-		this.catalogFollower = follower(parts.documents().catalogKind(), daemons, catalogKind, closely);
-		this.backendFollower = follower(parts.documents().backendKind(), daemons, backendKind, closely);
+				this.loads, this::mayHaveExpired, log)::changed);
+		FollowTimes times = FollowTimes.within(settings.changeWithin());
+		this.catalogFollower = follower(parts.documents().catalogKind(), daemons, catalogKind, times);
+		this.backendFollower = follower(parts.documents().backendKind(), daemons, backendKind, times);
 		this.network = new TcpPeerNetwork(peers.connections(), loop.forPeers(), loop,
 				new MessageCodec(peers.messages()), this.random, parts.metrics());
 		this.membership = MembershipService.builder()
@@ -154,33 +155,33 @@
 			this.limits.forget(endpoint);
 		});
 		FollowedKind crashKind = new FollowedKind(this.crashes::recordChanged);
-		this.crashFollower = follower(FleetCrashGuard.KIND, daemons, crashKind, FollowTimes.LOOSELY);
+		this.crashFollower = follower(FleetCrashGuard.KIND, daemons, crashKind, FollowTimes.RELAXED);
 		this.copies = new PeerCopies(
 				this.self, loop, this.network, Map.of(parts.documents().catalogKind(), catalogKind,
 						parts.documents().backendKind(), backendKind, FleetCrashGuard.KIND, crashKind),
 				this.directory, log);
 		DemandBoard demands = new DemandBoard(loop);
 		this.loadExchange = new LoadExchange(loop, this.network, settings.vm(), this.directory, this.loads, demands);
-		this.entries = new EntryList(loop, this.membership, this.network,
-				new KnownFleet(settings.vm(), this::informed, daemons, this.loadExchange, this.directory, this.loads),
-				log);
-		PlacementPolicy plain = new PlainPlacement(this.backends, this.health, this.loads, this.random);
-		PlacementPolicy engines = new EnginePlacement(this.backends, this.health, this.loads, demands, this.random);
+		this.entries = new EntryList(loop, this.membership, this.network, new NodeFleetView(settings.vm(),
+				this::configured, daemons, this.loadExchange, this.directory, this.loads), log);
+		PlacementPolicy plainPlacement = new PlainPlacement(this.backends, this.health, this.loads, this.random);
+		PlacementPolicy enginePlacement = new EnginePlacement(this.backends, this.health, this.loads, demands,
+				this.random);
 		EndpointNotices notices = new EndpointNotices(
 				new FleetPresence(loop, this.network, this.directory, this.backends), this.health);
 		parts.orders().onNotice(notices::heard);
 		MemoryHolds holds = new MemoryHolds(loop, parts.orders(), this.backends::startedAgain, notices::takes,
 				this.self.toString(), log);
 		GatewayPorts ports = new GatewayPorts(loop, settings.dataCentre(), connections,
-				(request) -> (request.service().engine().isPresent() ? engines : plain).place(request), notices,
-				this.health, this.loads, demands, retries(), this.limits, this.crashes, holds, this.loadExchange::tell,
-				log, new GatewayMetrics(parts.metrics()));
-		this.service = new GatewayService(ports, this.catalogs, this::takes, this.random);
-		StartQueue requests = new StartQueue(loop, this::informed, this.service);
+				(request) -> (request.service().engine().isPresent() ? enginePlacement : plainPlacement).place(request),
+				notices, this.health, this.loads, demands, retryWindow(), this.limits, this.crashes, holds,
+				this.loadExchange::tell, log, new GatewayMetrics(parts.metrics()));
+		this.service = new GatewayService(ports, this.catalogs, this::accepts, this.random);
+		StartQueue requests = new StartQueue(loop, this::configured, this.service);
 		this.callers = new CallerServer(loop, requests, parts.dialect(),
 				() -> this.catalogs.current().map(Catalog::limits).orElse(CallerLimits.DEFAULT));
 		this.status = new FleetStatus(this.membership, this.backends, this.health, this.loads, this.catalogs);
-		this.leave = new LeaveSequence(loop, settings, new Leaving(ended), log);
+		this.leave = new LeaveSequence(loop, settings, new LeaveActions(onStopped), log);
 		parts.metrics().gauge("gateway.connections.callers", () -> this.callers::connections);
 		parts.metrics().gauge("gateway.connections.opened", () -> connections::opened);
 		parts.metrics().gauge("gateway.connections.reused", () -> connections::reused);
@@ -188,32 +189,33 @@
 	}
 
 	/**
-	 * Makes a daemon that doesn't listen yet; blocks while its own record is read.
+	 * Creates a daemon that doesn't listen yet; blocks while its own record is read.
 	 * @param settings its settings
-	 * @param parts what it uses of the world outside
-	 * @param ended called once when a planned stop is complete
+	 * @param parts its external dependencies
+	 * @param onStopped called once when a planned stop is complete
 	 * @return the daemon
 	 */
-	public static GatewayNode create(GatewaySettings settings, Parts parts, Runnable ended) {
+	public static GatewayNode create(GatewaySettings settings, Parts parts, Runnable onStopped) {
 		RegisteredDaemons daemons = new RegisteredDaemons(parts.store());
-		Registration registration = Registration.after(settings, parts, daemons);
+		Registration registration = Registration.afterPreviousStart(settings, parts, daemons);
 		return CompletableFuture
-			.supplyAsync(() -> new GatewayNode(settings, parts, daemons, registration, ended), parts.loop()::execute)
+			.supplyAsync(() -> new GatewayNode(settings, parts, daemons, registration, onStopped),
+					parts.loop()::execute)
 			.join();
 	}
 
 	/**
-	 * Starts to listen and to take part.
+	 * Starts to listen and joins the fleet.
 	 * @throws Exception if an address can't be used
 	 */
 	public void start() throws Exception {
 		this.callers.listen(this.settings.callers());
 		this.network.start(this.directory);
-		CompletableFuture.runAsync(this::startSlices, this.parts.loop()::execute).get();
+		CompletableFuture.runAsync(this::startComponents, this.parts.loop()::execute).get();
 	}
 
 	/**
-	 * Begins the planned stop.
+	 * Starts the planned stop.
 	 */
 	public void beginLeave() {
 		this.parts.loop().execute(this.leave::begin);
@@ -221,13 +223,13 @@
 
 	/**
 	 * Whether this daemon can serve callers; on the loop's thread only.
-	 * @return true once it knows the configuration and endpoints, until it leaves
+	 * @return true once it knows the configuration and endpoints, until it starts to stop
 	 */
 	public boolean ready() {
-		return !this.leave.begun() && informed();
+		return !this.leave.begun() && configured();
 	}
 
-	private boolean informed() {
+	private boolean configured() {
 		return this.catalogs.current().isPresent() && !this.backends.all().isEmpty();
 	}
 
@@ -240,16 +242,16 @@
 	}
 
 	/**
-	 * Waits until this daemon has somebody to name to callers.
-	 * @return the wait, not begun
+	 * Returns a wait until this daemon has an address to return to callers.
+	 * @return the wait, not started
 	 */
 	public FirstAddresses firstAddresses() {
 		return new FirstAddresses(this.parts.loop(), this::addresses);
 	}
 
 	/**
-	 * What this daemon believes, for people; on the loop's thread only.
-	 * @return the state by slice
+	 * Dumps the state of this daemon for operators; on the loop's thread only.
+	 * @return the state by component
 	 */
 	public Map<String, Object> dump() {
 		Map<String, Object> state = new LinkedHashMap<>();
@@ -267,7 +269,8 @@
 	}
 
 	/**
-	 * What this daemon knows of the fleet, for operators; on the loop's thread only.
+	 * Summarizes this daemon's view of the fleet for operators; on the loop's thread
+	 * only.
 	 * @return the summary
 	 */
 	public StatusSummary status() {
@@ -276,14 +279,14 @@
 				this.status.daemons(), this.status.endpoints(), List.of(), List.of());
 	}
 
-	private void startSlices() {
+	private void startComponents() {
 		this.catalogFollower.start();
 		this.backendFollower.start();
 		this.crashFollower.start();
 		this.membership.start();
 		this.copies.start();
 		this.loadExchange.start();
-		this.parts.loop().repeat(SWEEP, () -> {
+		this.parts.loop().repeat(SWEEP_INTERVAL, () -> {
 			this.backends.expire();
 			this.crashes.expire();
 			this.entries.observe();
@@ -295,46 +298,46 @@
 		StoreFollower follower = new StoreFollower(kind, this.parts.loop(), this.random, store, copies,
 				new StoreOrder(), times, this.parts.log());
 		follower
-			.onNews((from) -> this.copies.push(kind, from, follower.sinceOutage(), this.directory.storeRank() == 0));
+			.onUpdate((from) -> this.copies.push(kind, from, follower.sinceOutage(), this.directory.storeRank() == 0));
 		return follower;
 	}
 
 	/**
-	 * Whether an entry that is off the list may only have lapsed, because the store was
-	 * away until a moment ago, as this daemon or one that told it knows.
-	 * @return true if the endpoint, if it lives, is back on the list soon
+	 * Whether a removed entry may only have expired, because the store was unavailable
+	 * until recently to this daemon or to one that reported it.
+	 * @return true if the endpoint, if it is alive, will soon be registered again
 	 */
-	private boolean mayHaveLapsed() {
-		return this.backendFollower.sinceOutage().compareTo(OUTAGE_MEMORY) < 0
-				|| this.copies.sinceOutage().compareTo(OUTAGE_MEMORY) < 0;
+	private boolean mayHaveExpired() {
+		return this.backendFollower.sinceOutage().compareTo(OUTAGE_WINDOW) < 0
+				|| this.copies.sinceOutage().compareTo(OUTAGE_WINDOW) < 0;
 	}
 
-	private boolean takes(Duration timeLeft) {
-		return this.leave.takes(timeLeft);
+	private boolean accepts(Duration timeLeft) {
+		return this.leave.accepts(timeLeft);
 	}
 
-	private RetryWindow retries() {
+	private RetryWindow retryWindow() {
 		return new RetryWindow(this.parts.loop(), this.settings.retryWindow(), this.settings.retryRatio(),
 				this.settings.retryConstant(), () -> Math.max(1, this.membership.expected()));
 	}
 
 	/**
-	 * What a daemon uses of the world outside.
+	 * The external dependencies of a daemon.
 	 *
 	 * @param loop its thread, clock and sockets
 	 * @param store the platform's store
 	 * @param documents reads the platform's documents
 	 * @param dialect reads and writes headers
-	 * @param orders orders to engines
+	 * @param orders sends orders to engines
 	 * @param log takes decisions
-	 * @param metrics counts
+	 * @param metrics the registry of metrics
 	 */
 	public record Parts(NettyLoop loop, ObjectStore store, Documents documents, WireDialect dialect,
 			EngineOrders orders, DecisionLog log, MetricRegistry metrics) {
 	}
 
 	/**
-	 * This daemon's place among those that ask the store.
+	 * The rank of this daemon in the order in which daemons query the store.
 	 */
 	private final class StoreOrder implements FollowOrder {
 
@@ -344,21 +347,21 @@
 		}
 
 		@Override
-		public boolean alone() {
-			return GatewayNode.this.copies.alone();
+		public boolean isolated() {
+			return GatewayNode.this.copies.isolated();
 		}
 
 	}
 
 	/**
-	 * What the planned stop does to this daemon.
+	 * The effects of the planned stop on this daemon.
 	 */
-	private final class Leaving implements LeaveSequence.Actions {
+	private final class LeaveActions implements LeaveSequence.Actions {
 
-		private final Runnable ended;
+		private final Runnable onStopped;
 
-		private Leaving(Runnable ended) {
-			this.ended = ended;
+		private LeaveActions(Runnable onStopped) {
+			this.onStopped = onStopped;
 		}
 
 		@Override
@@ -380,7 +383,7 @@
 		@Override
 		public void end() {
 			GatewayNode.this.callers.closeIdle();
-			this.ended.run();
+			this.onStopped.run();
 		}
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewaySettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewaySettings.java
@@ -18,14 +18,15 @@
  * @param dataCentre where it runs
  * @param callers where it listens for callers
  * @param peers where it listens for peers
- * @param seeds peers to dial before the list of daemons could be read
+ * @param seeds peers to dial before the list of daemons has been read
  * @param addressKeepFor how long callers keep an answer about addresses
  * @param grace how long a planned stop may take
- * @param changeWithin how soon a change in the store must be in force on every daemon
+ * @param changeWithin the time within which a change in the store must be in force on
+ * every daemon
  * @param retryWindow the window of the retry budget
- * @param retryRatio repeats allowed for each request in a window
- * @param retryConstant repeats allowed in a window besides, for all daemons together
- * @param capacity how large the VM is
+ * @param retryRatio retries allowed for each request in a window
+ * @param retryConstant additional retries allowed in a window, for all daemons together
+ * @param capacity the capacity of the VM
  */
 public record GatewaySettings(VmId vm, DataCentre dataCentre, InetSocketAddress callers, InetSocketAddress peers,
 		List<VmId> seeds, Duration addressKeepFor, Duration grace, Duration changeWithin, Duration retryWindow,
@@ -42,7 +43,7 @@
 	}
 
 	/**
-	 * A host and port as peers and callers are told it.
+	 * Formats an address for peers and callers.
 	 * @param address the address
 	 * @return {@code host:port}
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/LeaveSequence.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/LeaveSequence.java
@@ -10,21 +10,24 @@
  * The planned stop of a daemon that relays requests.
  *
  * <p>
- * Out of the address answers at once, then on serving until those who kept an old answer
- * have asked again, then no new connections, and the end with the last request. Callers
- * use open connections until the process is gone; what they send late is taken only if it
- * ends before the process. Invariant: the stop ends before the platform would kill the
- * process. Confined to the scheduler's thread.
+ * The daemon removes itself from the answers about addresses at once, continues to serve
+ * until callers that kept an old answer have queried again, then accepts no new
+ * connections, and exits with the last request. Callers use open connections until the
+ * process has exited; a late request on one of them is accepted only if it ends before
+ * the process. Invariant: the stop ends before the platform would kill the process.
+ * Confined to the scheduler's thread.
  */
 final class LeaveSequence {
 
 	/** Some callers keep an answer about addresses three times as long as they should. */
-	private static final int KEPT_TIMES = 3;
+	private static final int ADDRESS_KEEP_FACTOR = 3;
 
-	/** Time for the last answers to reach their callers before the process is killed. */
-	private static final Duration MARGIN = Duration.ofMillis(700);
+	/**
+	 * The time for the last answers to reach their callers before the process is killed.
+	 */
+	private static final Duration EXIT_MARGIN = Duration.ofMillis(700);
 
-	private static final Duration CHECK = Duration.ofMillis(100);
+	private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
 	private final Scheduler scheduler;
 
@@ -49,7 +52,7 @@
 	}
 
 	/**
-	 * Begins; calling again has no effect.
+	 * Starts the stop; calling again has no effect.
 	 */
 	void begin() {
 		if (this.begun) {
@@ -59,7 +62,7 @@
 		this.begunAt = this.scheduler.nanos();
 		this.log.daemon("stop", "unfinished", this.actions.unfinished(), "connections", this.actions.connections());
 		this.actions.announce();
-		this.checks = this.scheduler.repeat(CHECK, this::check);
+		this.checks = this.scheduler.repeat(CHECK_INTERVAL, this::check);
 	}
 
 	boolean begun() {
@@ -67,46 +70,47 @@
 	}
 
 	/**
-	 * Whether a request is still taken: while callers may not have asked for addresses
-	 * again, and later if it ends before this daemon. One that was taken after that would
-	 * be cut in the middle of its answer, while a refusal sends its caller elsewhere at
-	 * once.
-	 * @param timeLeft the request's time
-	 * @return true if it is
+	 * Whether a request is accepted: any as long as callers may not have queried
+	 * addresses again, and later those that end before this daemon exits. Any other would
+	 * be cut off in the middle of its answer, while a refusal makes its caller try
+	 * another daemon at once.
+	 * @param timeLeft the time left until the request's deadline
+	 * @return true if it is accepted
 	 */
-	boolean takes(Duration timeLeft) {
-		return !this.begun || since().compareTo(kept()) < 0 || since().plus(timeLeft).compareTo(longest()) <= 0;
+	boolean accepts(Duration timeLeft) {
+		return !this.begun || elapsed().compareTo(addressRetention()) < 0
+				|| elapsed().plus(timeLeft).compareTo(maxDuration()) <= 0;
 	}
 
-	private Duration since() {
+	private Duration elapsed() {
 		return Duration.ofNanos(this.scheduler.nanos() - this.begunAt);
 	}
 
-	private Duration kept() {
-		return this.settings.addressKeepFor().multipliedBy(KEPT_TIMES);
+	private Duration addressRetention() {
+		return this.settings.addressKeepFor().multipliedBy(ADDRESS_KEEP_FACTOR);
 	}
 
-	private Duration longest() {
-		return this.settings.grace().minus(MARGIN);
+	private Duration maxDuration() {
+		return this.settings.grace().minus(EXIT_MARGIN);
 	}
 
 	private void check() {
-		Duration since = since();
-		boolean unused = since.compareTo(kept().plus(CHECK)) > 0 && this.actions.unfinished() == 0;
-		boolean last = since.compareTo(longest()) > 0;
-		if (last || unused) {
+		Duration elapsed = elapsed();
+		boolean idle = elapsed.compareTo(addressRetention().plus(CHECK_INTERVAL)) > 0 && this.actions.unfinished() == 0;
+		boolean expired = elapsed.compareTo(maxDuration()) > 0;
+		if (expired || idle) {
 			this.checks.cancel();
-			this.log.daemon("end", "unfinished", this.actions.unfinished(), "after_ms", since.toMillis());
+			this.log.daemon("end", "unfinished", this.actions.unfinished(), "after_ms", elapsed.toMillis());
 			this.actions.end();
 		}
 	}
 
 	/**
-	 * What the stop does to the daemon.
+	 * The effects of the stop on the daemon.
 	 */
 	interface Actions {
 
-		/** Tells peers and callers. */
+		/** Announces the stop to peers and callers. */
 		void announce();
 
 		int unfinished();
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/OperatorAnswers.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/OperatorAnswers.java
@@ -16,9 +16,9 @@
 import org.bramleyscale.internal.status.StatusSummary;
 
 /**
- * Answers operators as the product's own daemon does: status, dump and metrics under the
- * same paths, so that the command line works with both. {@code /} says in plain sentences
- * what is wrong, for a phone.
+ * Serves status, dump and metrics to operators under the same paths as the product's own
+ * daemon, so that the command line works with both. {@code /} lists the problems in plain
+ * sentences, readable on a phone.
  *
  * <p>
  * Confined to the loop's thread.
@@ -48,7 +48,7 @@
 	public AnswerServer.Reply apply(AnswerServer.Question question) {
 		try {
 			return switch (question.path()) {
-				case "/" -> reply(TEXT, sentences());
+				case "/" -> reply(TEXT, problemText());
 				case "/v1/operator/status" -> reply(JSON, OperatorJson.write(report()));
 				case "/v1/operator/dump" -> reply(JSON, OperatorJson.write(this.node.dump()));
 				case "/v1/operator/metrics", "/metrics" -> reply(MetricsExport.TEXT_TYPE, this.metrics.text());
@@ -65,7 +65,7 @@
 		return new StatusReport(this.problems.find(summary), summary);
 	}
 
-	private String sentences() {
+	private String problemText() {
 		List<StatusProblem> found = report().problems();
 		if (found.isEmpty()) {
 			return "Nothing is wrong as far as this daemon knows.\n";
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/PeerSetup.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/PeerSetup.java
@@ -20,32 +20,33 @@
 import org.bramleyscale.internal.platform.VmRecord;
 
 /**
- * How a daemon that relays requests meets its peers.
+ * Creates the settings by which a daemon that relays requests connects to its peers.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
  *
  * @param settings the daemon's settings
- * @param self this start of the daemon
+ * @param self the incarnation of the daemon
  */
 record PeerSetup(GatewaySettings settings, Incarnation self) {
 
 	/**
-	 * Peers speak within a private network; the key keeps fleets apart, not enemies out.
+	 * Separates fleets from each other. It is no protection against attackers: peers
+	 * communicate within a private network.
 	 */
 	private static final byte[] PEER_KEY = "bramleyscale gateway peers".getBytes(StandardCharsets.UTF_8);
 
 	/**
-	 * Half of the product's usual times: callers that are named a dead daemon lose one of
-	 * two tries, and a lost connection alone doesn't show a daemon without power.
+	 * Half of the product's usual times: callers that are sent to a dead daemon lose one
+	 * of two tries, and a lost connection alone doesn't reveal a daemon without power.
 	 */
-	private static final MembershipTimes TIMES = new MembershipTimes(Duration.ofMillis(500), Duration.ofMillis(1_500),
-			Duration.ofMillis(300), Duration.ofMillis(500), Duration.ofMillis(1_500), Duration.ofMillis(1_500),
-			Duration.ofSeconds(2), Duration.ofSeconds(5), Duration.ofMillis(300), Duration.ofMillis(500),
-			Duration.ofSeconds(5), Duration.ofMinutes(10));
+	private static final MembershipTimes MEMBERSHIP_TIMES = new MembershipTimes(Duration.ofMillis(500),
+			Duration.ofMillis(1_500), Duration.ofMillis(300), Duration.ofMillis(500), Duration.ofMillis(1_500),
+			Duration.ofMillis(1_500), Duration.ofSeconds(2), Duration.ofSeconds(5), Duration.ofMillis(300),
+			Duration.ofMillis(500), Duration.ofSeconds(5), Duration.ofMinutes(10));
 
 	MembershipSettings membership() {
-		return new MembershipSettings(identity(), seeds(), MembershipSettings.DEFAULT_MESH_LIMIT, TIMES);
+		return new MembershipSettings(identity(), seeds(), MembershipSettings.DEFAULT_MESH_LIMIT, MEMBERSHIP_TIMES);
 	}
 
 	PeerIdentity identity() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/RegisteredDaemons.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/RegisteredDaemons.java
@@ -21,8 +21,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Takes the list of VMs from what daemons wrote about themselves, on a platform that has
- * no such list of its own.
+ * Derives the list of VMs from the records by which daemons register, on a platform that
+ * provides no such list.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -33,7 +33,7 @@
 
 	private final ObjectStore store;
 
-	private final Map<VmId, Integer> sizes = new HashMap<>();
+	private final Map<VmId, Integer> sizeClasses = new HashMap<>();
 
 	private boolean listed;
 
@@ -72,21 +72,21 @@
 	}
 
 	/**
-	 * {@inheritDoc} A cached list will do: daemons that have met tell each other who is
-	 * there, and the list only says whom to look for.
+	 * {@inheritDoc} A cached list is sufficient: connected daemons exchange their
+	 * members, and the list only provides daemons to dial.
 	 */
 	@Override
 	public CompletableFuture<List<VmRecord>> vms() {
 		return this.store.listCached(DaemonRecord.KIND).thenApply((batch) -> {
 			List<VmRecord> records = new ArrayList<>();
-			this.sizes.clear();
+			this.sizeClasses.clear();
 			this.listed = true;
 			for (StoredObject object : batch.changed()) {
 				try {
 					DaemonRecord record = DaemonRecord.read(object.value());
 					records.add(new VmRecord(new VmId(record.vm()), new DataCentre(record.dataCentre()),
 							record.peerAddress(), record.httpAddress(), record.leaving()));
-					this.sizes.put(new VmId(record.vm()), record.capacity().sizeClass());
+					this.sizeClasses.put(new VmId(record.vm()), record.capacity().sizeClass());
 				}
 				catch (IOException | IllegalArgumentException ex) {
 					logger.warnf("The record of daemon %s can't be read: %s", object.key(), ex.getMessage());
@@ -97,27 +97,27 @@
 	}
 
 	/**
-	 * The class of size of the largest other VM on the list as it was last read.
+	 * The size class of the largest other VM on the list as it was last read.
 	 * @param self the VM that doesn't count
-	 * @return the class, {@link FleetKnowledge#NO_OTHER} if the list names no other VM,
-	 * or empty if it wasn't read yet
+	 * @return the class, {@link FleetView#NO_OTHER_VM} if the list has no other VM, or
+	 * empty if it hasn't been read yet
 	 */
-	OptionalInt largestOther(VmId self) {
+	OptionalInt largestOtherSizeClass(VmId self) {
 		if (!this.listed) {
 			return OptionalInt.empty();
 		}
-		return OptionalInt.of(this.sizes.entrySet()
+		return OptionalInt.of(this.sizeClasses.entrySet()
 			.stream()
 			.filter((entry) -> !entry.getKey().equals(self))
 			.mapToInt(Map.Entry::getValue)
 			.max()
-			.orElse(FleetKnowledge.NO_OTHER));
+			.orElse(FleetView.NO_OTHER_VM));
 	}
 
 	/**
-	 * Writes a daemon's record, whatever stands there.
+	 * Writes a daemon's record, whether or not one exists.
 	 * @param record the record
-	 * @param expected the version that stands there as far as known, 0 for none
+	 * @param expected the version that the store is expected to have, 0 for none
 	 * @return completes with the version written
 	 */
 	CompletableFuture<Long> register(DaemonRecord record, long expected) {
@@ -129,28 +129,28 @@
 	 * Reads a daemon's record.
 	 * @param vm its VM
 	 * @return the record with its version, or empty if there is none; one that can't be
-	 * read counts as a start with number 0
+	 * read is treated as one with start number 0
 	 */
-	CompletableFuture<Optional<Registered>> registered(VmId vm) {
+	CompletableFuture<Optional<VersionedRecord>> find(VmId vm) {
 		return read(new ObjectKey(DaemonRecord.KIND, vm.value())).thenApply((found) -> found.flatMap((object) -> {
 			try {
-				return Optional.of(new Registered(DaemonRecord.read(object.value()), object.version()));
+				return Optional.of(new VersionedRecord(DaemonRecord.read(object.value()), object.version()));
 			}
 			catch (IOException ex) {
-				logger.warnf("The own record can't be read and will be replaced: %s", ex.getMessage());
-				return Optional.of(new Registered(
+				logger.warnf("This daemon's own record can't be read and will be replaced: %s", ex.getMessage());
+				return Optional.of(new VersionedRecord(
 						new DaemonRecord(vm.value(), "", "", "", false, 0, VmCapacity.UNKNOWN), object.version()));
 			}
 		}));
 	}
 
 	/**
-	 * A record that stands in the store.
+	 * A record in the store.
 	 *
 	 * @param record the record
-	 * @param version its version there
+	 * @param version its version in the store
 	 */
-	record Registered(DaemonRecord record, long version) {
+	record VersionedRecord(DaemonRecord record, long version) {
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/Registration.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/Registration.java
@@ -10,22 +10,23 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Writes this daemon's record into the platform's store and numbers its start.
+ * Writes this daemon's record to the platform's store and numbers its start.
  *
  * <p>
- * The record is written until the store takes it, each time over what stands there; an
- * answer that was lost costs one more reading. Confined to the loop's thread, except for
- * {@link #after}, which blocks and must be called from another.
+ * The write is retried until it succeeds, each time against the version that the store
+ * has; a lost answer costs one more read. Confined to the loop's thread, except for
+ * {@link #afterPreviousStart}, which blocks and must be called from another thread.
  */
 final class Registration {
 
 	/**
-	 * How long the start waits to read the own record. Without it the daemon starts with
-	 * the time of day as its number, which is right unless the clock has stepped back.
+	 * How long the start waits for its previous record. Without it the daemon uses the
+	 * time of day as its start number, which is correct unless the clock has stepped
+	 * back.
 	 */
-	private static final Duration RECORD_WAIT = Duration.ofMillis(700);
+	private static final Duration READ_TIMEOUT = Duration.ofMillis(700);
 
-	private static final Duration PAUSE = Duration.ofSeconds(1);
+	private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
 	private final Scheduler scheduler;
 
@@ -50,24 +51,26 @@
 	}
 
 	/**
-	 * Reads the record of the daemon's last start and numbers this one after it.
+	 * Reads the record of the daemon's previous start and numbers this one after it.
 	 * @param settings the daemon's settings
-	 * @param parts the world outside
+	 * @param parts the daemon's external dependencies
 	 * @param daemons the records in the store
 	 * @return the registration, not yet written
 	 */
-	static Registration after(GatewaySettings settings, GatewayNode.Parts parts, RegisteredDaemons daemons) {
+	static Registration afterPreviousStart(GatewaySettings settings, GatewayNode.Parts parts,
+			RegisteredDaemons daemons) {
 		long now = parts.loop().wallTime().toEpochMilli();
-		RegisteredDaemons.Registered before = before(settings, parts, daemons);
-		if (before == null) {
+		RegisteredDaemons.VersionedRecord previous = previousRecord(settings, parts, daemons);
+		if (previous == null) {
 			return new Registration(settings, parts, daemons, now, 0);
 		}
-		return new Registration(settings, parts, daemons, before.record().startAfter(now), before.version());
+		return new Registration(settings, parts, daemons, previous.record().startAfter(now), previous.version());
 	}
 
 	/**
 	 * The number of this start.
-	 * @return a number greater than that of the last start, if its record could be read
+	 * @return a number greater than that of the previous start, if its record could be
+	 * read
 	 */
 	long start() {
 		return this.start;
@@ -83,23 +86,23 @@
 				return;
 			}
 			this.log.belief("store", DaemonRecord.KIND, "registered", false, "cause", failure.getMessage());
-			this.scheduler.schedule(PAUSE, this::readAndRegister);
+			this.scheduler.schedule(RETRY_DELAY, this::readAndRegister);
 		});
 	}
 
 	private void readAndRegister() {
-		this.daemons.registered(this.settings.vm()).whenComplete((found, failure) -> {
+		this.daemons.find(this.settings.vm()).whenComplete((found, failure) -> {
 			if (failure == null) {
-				this.version = found.map(RegisteredDaemons.Registered::version).orElse(0L);
+				this.version = found.map(RegisteredDaemons.VersionedRecord::version).orElse(0L);
 			}
 			register();
 		});
 	}
 
-	private static RegisteredDaemons.Registered before(GatewaySettings settings, GatewayNode.Parts parts,
+	private static RegisteredDaemons.VersionedRecord previousRecord(GatewaySettings settings, GatewayNode.Parts parts,
 			RegisteredDaemons daemons) {
-		CompletableFuture<RegisteredDaemons.Registered> found = new CompletableFuture<>();
-		parts.loop().execute(() -> daemons.registered(settings.vm()).whenComplete((registered, failure) -> {
+		CompletableFuture<RegisteredDaemons.VersionedRecord> found = new CompletableFuture<>();
+		parts.loop().execute(() -> daemons.find(settings.vm()).whenComplete((registered, failure) -> {
 			if (failure == null) {
 				found.complete(registered.orElse(null));
 			}
@@ -108,7 +111,7 @@
 			}
 		}));
 		try {
-			return found.get(RECORD_WAIT.toMillis(), TimeUnit.MILLISECONDS);
+			return found.get(READ_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
 		}
 		catch (ExecutionException | TimeoutException ex) {
 			parts.log().belief("store", DaemonRecord.KIND, "record_before", "unknown", "cause", ex.toString());
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Joins the slices that relay requests into one daemon.
+ * Assembles the components that relay requests into one daemon.
  */
 package org.bramleyscale.internal.gateway.node;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/CopiesOnTheWireTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/CopyMessageCodecTests.java
@@ -17,7 +17,7 @@
 /**
  * Messages of copies, written and read by the codec of the peer protocol.
  */
-class CopiesOnTheWireTests {
+class CopyMessageCodecTests {
 
 	private static final String PEER = "peer";
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FollowFaultsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FollowFaultsTests.java
@@ -26,15 +26,15 @@
 	private static final Duration WITHIN = Duration.ofSeconds(3);
 
 	/** A daemon counts only if its calls to the store have worked for so long. */
-	private static final Duration IN_TOUCH = Duration.ofSeconds(4);
+	private static final Duration CONTACT_TIME = Duration.ofSeconds(4);
 
-	private static final int NEAR = 24;
+	private static final int LEAVES = 24;
 
 	private static final int ROUNDS = 40;
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
-	private final FakeFleet fleet = new FakeFleet(this.scheduler, WITHIN);
+	private final SimulatedFleet fleet = new SimulatedFleet(this.scheduler, WITHIN);
 
 	private final Map<Integer, Long> worksSince = new HashMap<>();
 
@@ -48,40 +48,40 @@
 		// Symptom: a daemon that can read the store serves by an old document. Sequence:
 		// drawn. Cause: what the daemon hears from others keeps it from asking itself.
 		Random random = new Random(seed);
-		this.fleet.topology(new RelayedTopology(NEAR));
+		this.fleet.topology(new RelayedTopology(LEAVES));
 		this.fleet.store().change("first");
-		this.fleet.start(RelayedTopology.RELAYS + NEAR);
+		this.fleet.start(RelayedTopology.RELAYS + LEAVES);
 		this.fleet.daemons().forEach((daemon) -> this.worksSince.put(daemon.rank(), this.scheduler.nanos()));
 		this.scheduler.advance(Duration.ofSeconds(10));
 		for (int round = 1; round <= ROUNDS; round++) {
-			strike(random);
+			inject(random);
 			this.scheduler.advance(Duration.ofMillis(random.nextInt(3_000)));
 			change("change-" + round, seed);
 		}
 	}
 
-	private void strike(Random random) {
-		int rank = random.nextInt(random.nextBoolean() ? RelayedTopology.RELAYS : RelayedTopology.RELAYS + NEAR);
-		FakeFleet.Daemon daemon = this.fleet.daemons().get(rank);
+	private void inject(Random random) {
+		int rank = random.nextInt(random.nextBoolean() ? RelayedTopology.RELAYS : RelayedTopology.RELAYS + LEAVES);
+		SimulatedFleet.Daemon daemon = this.fleet.daemons().get(rank);
 		switch (random.nextInt(4)) {
-			case 0 -> daemon.queued(Duration.ofMillis(random.nextInt(8_000)));
-			case 1 -> daemon.queued(Duration.ZERO);
-			case 2 -> store(daemon, random.nextBoolean() ? PlayedStore.Link.REFUSED : PlayedStore.Link.SILENT);
-			default -> this.fleet.daemons().forEach((other) -> store(other, PlayedStore.Link.WORKS));
+			case 0 -> daemon.queueDelay(Duration.ofMillis(random.nextInt(8_000)));
+			case 1 -> daemon.queueDelay(Duration.ZERO);
+			case 2 -> store(daemon, random.nextBoolean() ? SimulatedStore.Link.REFUSED : SimulatedStore.Link.SILENT);
+			default -> this.fleet.daemons().forEach((other) -> store(other, SimulatedStore.Link.WORKS));
 		}
 	}
 
-	private void store(FakeFleet.Daemon daemon, PlayedStore.Link link) {
+	private void store(SimulatedFleet.Daemon daemon, SimulatedStore.Link link) {
 		if (daemon.store().link() != link) {
 			daemon.store().link(link);
 			this.worksSince.put(daemon.rank(),
-					(link == PlayedStore.Link.WORKS) ? this.scheduler.nanos() : Long.MAX_VALUE);
+					(link == SimulatedStore.Link.WORKS) ? this.scheduler.nanos() : Long.MAX_VALUE);
 		}
 	}
 
 	private void change(String name, long seed) {
-		long inTouchSince = this.scheduler.nanos() - IN_TOUCH.toNanos();
-		List<FakeFleet.Daemon> inTouch = this.fleet.daemons()
+		long inTouchSince = this.scheduler.nanos() - CONTACT_TIME.toNanos();
+		List<SimulatedFleet.Daemon> inTouch = this.fleet.daemons()
 			.stream()
 			.filter((daemon) -> this.worksSince.get(daemon.rank()) <= inTouchSince)
 			.toList();
@@ -89,7 +89,7 @@
 		this.scheduler.advance(WITHIN);
 		List<Integer> unaware = inTouch.stream()
 			.filter((daemon) -> !daemon.knows(name))
-			.map(FakeFleet.Daemon::rank)
+			.map(SimulatedFleet.Daemon::rank)
 			.toList();
 		Truth.assertWithMessage("seed " + seed + ", ranks without " + name).that(unaware).isEmpty();
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FollowFleetTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FollowFleetTests.java
@@ -27,7 +27,7 @@
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
-	private final FakeFleet fleet = new FakeFleet(this.scheduler, WITHIN);
+	private final SimulatedFleet fleet = new SimulatedFleet(this.scheduler, WITHIN);
 
 	@BeforeEach
 	void start() {
@@ -75,7 +75,7 @@
 		// Symptom: each change takes a second, for as long as the watchers are turned
 		// away. Sequence: the store turns both watchers away; two changes. Cause: who
 		// only checks now and then is late each time.
-		this.fleet.daemons().subList(0, 2).forEach((daemon) -> daemon.store().link(PlayedStore.Link.REFUSED));
+		this.fleet.daemons().subList(0, 2).forEach((daemon) -> daemon.store().link(SimulatedStore.Link.REFUSED));
 		this.fleet.store().change("second");
 		this.scheduler.advance(WITHIN);
 		this.fleet.store().change("third");
@@ -89,13 +89,13 @@
 	 * that followed the store don't tell, or don't hear it themselves.
 	 */
 	@ParameterizedTest
-	@EnumSource(Trouble.class)
-	void aChangeIsKnownInTimeByAllThatCanHearOfIt(Trouble trouble) {
-		trouble.strike(this.fleet.daemons());
+	@EnumSource(Fault.class)
+	void aChangeIsKnownInTimeByAllThatCanHearOfIt(Fault trouble) {
+		trouble.inject(this.fleet.daemons());
 		this.fleet.store().change("second");
 		this.scheduler.advance(WITHIN);
-		for (FakeFleet.Daemon daemon : this.fleet.daemons()) {
-			if (daemon.store().link() == PlayedStore.Link.WORKS || daemon.hearsPeers()) {
+		for (SimulatedFleet.Daemon daemon : this.fleet.daemons()) {
+			if (daemon.store().link() == SimulatedStore.Link.WORKS || daemon.connectedToPeers()) {
 				Truth.assertWithMessage("rank " + daemon.rank()).that(daemon.knows("second")).isTrue();
 			}
 		}
@@ -106,7 +106,7 @@
 		// Symptom: a key that was taken away is accepted for the rest of a watch.
 		// Sequence: every open connection to the store goes silent, new ones work; the
 		// document changes. Cause: no error is ever reported on them.
-		this.fleet.store().deafen();
+		this.fleet.store().silenceWatches();
 		this.fleet.store().change("second");
 		this.scheduler.advance(WITHIN);
 		this.fleet.daemons().forEach((daemon) -> Truth.assertThat(daemon.knows("second")).isTrue());
@@ -119,7 +119,7 @@
 		// no
 		// answer to a question arrives. What prevents it: hearing that a peer knows more
 		// doesn't make news fresh, so each daemon asks the store itself.
-		this.fleet.refuseCopies();
+		this.fleet.rejectCopies();
 		this.fleet.store().change("second");
 		this.scheduler.advance(WITHIN);
 		this.fleet.daemons().forEach((daemon) -> Truth.assertThat(daemon.knows("second")).isTrue());
@@ -127,17 +127,17 @@
 
 	@ParameterizedTest
 	@CsvSource({ "REFUSED, 260", "SILENT, 110" })
-	void aStoreThatIsAwayIsAskedByFewAndIsBackForAllAtOnce(PlayedStore.Link link, int most) {
+	void aStoreThatIsAwayIsAskedByFewAndIsBackForAllAtOnce(SimulatedStore.Link link, int most) {
 		// Symptom: hundreds of calls a second at a store that is away. Sequence: nobody
 		// hears the store for ten seconds; it comes back, changed. Cause: every daemon
 		// asks until it is answered.
 		int before = this.fleet.store().calls();
 		this.fleet.daemons().forEach((daemon) -> daemon.store().link(link));
-		this.fleet.store().deafen();
+		this.fleet.store().silenceWatches();
 		this.scheduler.advance(Duration.ofSeconds(10));
 		Truth.assertThat(this.fleet.store().calls() - before).isAtMost(most);
 		this.fleet.store().change("second");
-		this.fleet.daemons().forEach((daemon) -> daemon.store().link(PlayedStore.Link.WORKS));
+		this.fleet.daemons().forEach((daemon) -> daemon.store().link(SimulatedStore.Link.WORKS));
 		this.scheduler.advance(WITHIN);
 		this.fleet.daemons().forEach((daemon) -> Truth.assertThat(daemon.knows("second")).isTrue());
 	}
@@ -148,11 +148,11 @@
 	 */
 	@ParameterizedTest
 	@CsvSource({ "REFUSED, 0", "SILENT, 0", "REFUSED, 2", "SILENT, 7" })
-	void aStoreThatTurnsOneDaemonAwayWasNotAway(PlayedStore.Link link, int rank) {
-		FakeFleet.Daemon turnedAway = this.fleet.daemons().get(rank);
+	void aStoreThatTurnsOneDaemonAwayWasNotAway(SimulatedStore.Link link, int rank) {
+		SimulatedFleet.Daemon turnedAway = this.fleet.daemons().get(rank);
 		turnedAway.store().link(link);
 		this.scheduler.advance(Duration.ofSeconds(8));
-		turnedAway.store().link(PlayedStore.Link.WORKS);
+		turnedAway.store().link(SimulatedStore.Link.WORKS);
 		this.scheduler.advance(Duration.ofSeconds(1));
 		this.fleet.store().change("second");
 		this.scheduler.advance(Duration.ofMillis(500));
@@ -163,11 +163,11 @@
 	/** Guards against entries that lapsed in an outage and count as gone for some. */
 	@ParameterizedTest
 	@CsvSource({ "REFUSED, 4000", "SILENT, 4000", "REFUSED, 13000", "SILENT, 13000" })
-	void allDaemonsKnowThatTheStoreWasAwayOnceTheyHearWhatChanged(PlayedStore.Link link, long millis) {
+	void allDaemonsKnowThatTheStoreWasAwayOnceTheyHearWhatChanged(SimulatedStore.Link link, long millis) {
 		this.fleet.daemons().forEach((daemon) -> daemon.store().link(link));
 		this.scheduler.advance(Duration.ofMillis(millis));
 		this.fleet.store().change("second");
-		this.fleet.daemons().forEach((daemon) -> daemon.store().link(PlayedStore.Link.WORKS));
+		this.fleet.daemons().forEach((daemon) -> daemon.store().link(SimulatedStore.Link.WORKS));
 		this.scheduler.advance(Duration.ofMillis(2_500));
 		this.fleet.daemons().forEach((daemon) -> {
 			Truth.assertThat(daemon.knows("second")).isTrue();
@@ -178,7 +178,7 @@
 	@Test
 	void aDaemonThatStartsTakesCopiesFromItsPeers() {
 		int before = this.fleet.store().calls();
-		FakeFleet.Daemon late = this.fleet.startOneMore();
+		SimulatedFleet.Daemon late = this.fleet.startOneMore();
 		this.scheduler.advance(Duration.ofMillis(900));
 		Truth.assertThat(late.knows("first")).isTrue();
 		Truth.assertThat(late.store().calls()).isEqualTo(1);
@@ -188,64 +188,64 @@
 	/**
 	 * What happens before a change.
 	 */
-	private enum Trouble {
+	private enum Fault {
 
-		NOTHING {
+		NONE {
 			@Override
-			void strike(List<FakeFleet.Daemon> fleet) {
+			void inject(List<SimulatedFleet.Daemon> fleet) {
 			}
 		},
 
-		WATCHERS_GONE {
+		WATCHERS_ISOLATED {
 			@Override
-			void strike(List<FakeFleet.Daemon> fleet) {
-				fleet.subList(0, 2).forEach(FakeFleet.Daemon::cutOff);
+			void inject(List<SimulatedFleet.Daemon> fleet) {
+				fleet.subList(0, 2).forEach(SimulatedFleet.Daemon::isolate);
 			}
 		},
 
-		WATCHERS_TURNED_AWAY {
+		WATCHERS_REFUSED {
 			@Override
-			void strike(List<FakeFleet.Daemon> fleet) {
-				fleet.subList(0, 2).forEach((daemon) -> daemon.store().link(PlayedStore.Link.REFUSED));
+			void inject(List<SimulatedFleet.Daemon> fleet) {
+				fleet.subList(0, 2).forEach((daemon) -> daemon.store().link(SimulatedStore.Link.REFUSED));
 			}
 		},
 
-		WATCHERS_HEAR_SILENCE {
+		WATCHERS_UNANSWERED {
 			@Override
-			void strike(List<FakeFleet.Daemon> fleet) {
-				fleet.subList(0, 2).forEach((daemon) -> daemon.store().link(PlayedStore.Link.SILENT));
+			void inject(List<SimulatedFleet.Daemon> fleet) {
+				fleet.subList(0, 2).forEach((daemon) -> daemon.store().link(SimulatedStore.Link.SILENT));
 			}
 		},
 
 		WATCHERS_WITHOUT_PEERS {
 			@Override
-			void strike(List<FakeFleet.Daemon> fleet) {
-				fleet.subList(0, 2).forEach((daemon) -> daemon.losePeers());
+			void inject(List<SimulatedFleet.Daemon> fleet) {
+				fleet.subList(0, 2).forEach((daemon) -> daemon.disconnectPeers());
 			}
 		},
 
-		HALF_OF_THE_FLEET_TURNED_AWAY {
+		HALF_OF_FLEET_REFUSED {
 			@Override
-			void strike(List<FakeFleet.Daemon> fleet) {
-				fleet.subList(0, DAEMONS / 2).forEach((daemon) -> daemon.store().link(PlayedStore.Link.REFUSED));
+			void inject(List<SimulatedFleet.Daemon> fleet) {
+				fleet.subList(0, DAEMONS / 2).forEach((daemon) -> daemon.store().link(SimulatedStore.Link.REFUSED));
 			}
 		},
 
 		ONE_WITHOUT_PEERS {
 			@Override
-			void strike(List<FakeFleet.Daemon> fleet) {
-				fleet.get(DAEMONS - 1).losePeers();
+			void inject(List<SimulatedFleet.Daemon> fleet) {
+				fleet.get(DAEMONS - 1).disconnectPeers();
 			}
 		},
 
-		NOBODY_HEARS_PEERS {
+		ALL_WITHOUT_PEERS {
 			@Override
-			void strike(List<FakeFleet.Daemon> fleet) {
-				fleet.forEach((daemon) -> daemon.losePeers());
+			void inject(List<SimulatedFleet.Daemon> fleet) {
+				fleet.forEach((daemon) -> daemon.disconnectPeers());
 			}
 		};
 
-		abstract void strike(List<FakeFleet.Daemon> fleet);
+		abstract void inject(List<SimulatedFleet.Daemon> fleet);
 
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/OutageFaultsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/OutageFaultsTests.java
@@ -19,14 +19,14 @@
  * Drawn outages of the store, at the end of which changes come quickly while daemons
  * stand still that followed it, or the store turns some away. Each change must be in
  * force in time on every daemon in touch: one that ran, and could call a store that
- * answers, for {@link #CONTACT_BEYOND} longer than a change may take.
+ * answers, for {@link #CONTACT_MARGIN} longer than a change may take.
  *
  * <p>
  * More seeds by hand: {@code -Doutage.seeds=2000}.
  */
 class OutageFaultsTests {
 
-	private static final Duration CONTACT_BEYOND = Duration.ofSeconds(1);
+	private static final Duration CONTACT_MARGIN = Duration.ofSeconds(1);
 
 	private static final Duration STEP = Duration.ofMillis(20);
 
@@ -35,9 +35,9 @@
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
-	private final Set<FakeFleet.Daemon> outOfTouch = new HashSet<>();
+	private final Set<SimulatedFleet.Daemon> excluded = new HashSet<>();
 
-	private FakeFleet fleet;
+	private SimulatedFleet fleet;
 
 	static LongStream seeds() {
 		return LongStream.rangeClosed(1, Integer.getInteger("outage.seeds", 60));
@@ -51,17 +51,17 @@
 		boolean large = random.nextBoolean();
 		Duration within = Duration.ofSeconds(large ? 3 : 2);
 		start(random, large, within);
-		PlayedStore.Link away = random.nextBoolean() ? PlayedStore.Link.SILENT : PlayedStore.Link.REFUSED;
+		SimulatedStore.Link away = random.nextBoolean() ? SimulatedStore.Link.SILENT : SimulatedStore.Link.REFUSED;
 		this.fleet.daemons().forEach((daemon) -> daemon.store().link(away));
 		this.scheduler.advance(Duration.ofMillis(3_000 + random.nextInt(12_000)));
-		comeBack(random);
-		long inTouch = this.scheduler.nanos() + within.plus(CONTACT_BEYOND).toNanos();
+		restoreStore(random);
+		long inTouch = this.scheduler.nanos() + within.plus(CONTACT_MARGIN).toNanos();
 		List<Change> changes = new ArrayList<>();
 		int strikeAt = 1 + random.nextInt(3);
 		for (int i = 1; i <= 4; i++) {
 			this.scheduler.advance(Duration.ofMillis(random.nextInt(900)));
 			if (i == strikeAt || random.nextInt(4) == 0) {
-				standStill(random, within);
+				freezeSome(random, within);
 			}
 			this.scheduler.advance(Duration.ofMillis(60));
 			this.fleet.store().change("change-" + i);
@@ -74,15 +74,15 @@
 			Truth.assertWithMessage("seed " + seed + ", ranks without " + change.name)
 				.that(this.fleet.daemons()
 					.stream()
-					.filter((daemon) -> !this.outOfTouch.contains(daemon) && !daemon.knows(change.name))
-					.map(FakeFleet.Daemon::rank)
+					.filter((daemon) -> !this.excluded.contains(daemon) && !daemon.knows(change.name))
+					.map(SimulatedFleet.Daemon::rank)
 					.toList())
 				.isEmpty();
 		}
 	}
 
 	private void start(Random random, boolean large, Duration within) {
-		this.fleet = new FakeFleet(this.scheduler, within);
+		this.fleet = new SimulatedFleet(this.scheduler, within);
 		int near = 12 + random.nextInt(60);
 		if (large) {
 			this.fleet.topology(new RelayedTopology(near));
@@ -96,14 +96,14 @@
 	 * Has the store answer again, at times not all daemons.
 	 * @param random draws
 	 */
-	private void comeBack(Random random) {
+	private void restoreStore(Random random) {
 		double turnedAway = random.nextBoolean() ? 0.35 * random.nextDouble() : 0;
-		for (FakeFleet.Daemon daemon : this.fleet.daemons()) {
+		for (SimulatedFleet.Daemon daemon : this.fleet.daemons()) {
 			if (random.nextDouble() < turnedAway) {
-				this.outOfTouch.add(daemon);
+				this.excluded.add(daemon);
 			}
 			else {
-				daemon.store().link(PlayedStore.Link.WORKS);
+				daemon.store().link(SimulatedStore.Link.WORKS);
 			}
 		}
 	}
@@ -114,17 +114,18 @@
 	 * @param random draws
 	 * @param within how long a change may take
 	 */
-	private void standStill(Random random, Duration within) {
-		List<FakeFleet.Daemon> chosen = new ArrayList<>(this.fleet.daemons());
+	private void freezeSome(Random random, Duration within) {
+		List<SimulatedFleet.Daemon> chosen = new ArrayList<>(this.fleet.daemons());
 		switch (random.nextInt(3)) {
-			case 0 -> chosen.sort(Comparator.comparingLong((FakeFleet.Daemon daemon) -> -daemon.store().answeredAt()));
-			case 1 -> chosen.sort(Comparator.comparingInt(FakeFleet.Daemon::rank));
+			case 0 ->
+				chosen.sort(Comparator.comparingLong((SimulatedFleet.Daemon daemon) -> -daemon.store().answeredAt()));
+			case 1 -> chosen.sort(Comparator.comparingInt(SimulatedFleet.Daemon::rank));
 			default -> Collections.shuffle(chosen, random);
 		}
 		int count = 1 + random.nextInt(3);
 		chosen.subList(0, count).forEach((daemon) -> {
 			daemon.freeze(Duration.ofMillis(random.nextInt((int) within.plus(FROZEN).toMillis())));
-			this.outOfTouch.add(daemon);
+			this.excluded.add(daemon);
 		});
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/PeerCopiesTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/PeerCopiesTests.java
@@ -26,26 +26,26 @@
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
-	private final Pipe left = new Pipe("left");
+	private final Connection left = new Connection("left");
 
-	private final Pipe right = new Pipe("right");
+	private final Connection right = new Connection("right");
 
-	private final List<String> heard = new ArrayList<>();
+	private final List<String> changes = new ArrayList<>();
 
-	private final FollowedKind fresh = new FollowedKind((object) -> {
+	private final FollowedKind current = new FollowedKind((object) -> {
 	});
 
-	private final FollowedKind cutOff = new FollowedKind(
-			(object) -> this.heard.add((object.deleted() ? "-" : "+") + object.name()));
+	private final FollowedKind outdated = new FollowedKind(
+			(object) -> this.changes.add((object.deleted() ? "-" : "+") + object.name()));
 
 	PeerCopiesTests() {
 		this.left.other = this.right;
 		this.right.other = this.left;
-		this.fresh.list(batch(10, "a", "b"));
-		PeerCopies first = new PeerCopies(this.left.self, this.scheduler, this.left, Map.of("servers", this.fresh),
+		this.current.applyList(batch(10, "a", "b"));
+		PeerCopies first = new PeerCopies(this.left.self, this.scheduler, this.left, Map.of("servers", this.current),
 				this.left, DecisionLog.NONE);
-		PeerCopies second = new PeerCopies(this.right.self, this.scheduler, this.right, Map.of("servers", this.cutOff),
-				this.right, DecisionLog.NONE);
+		PeerCopies second = new PeerCopies(this.right.self, this.scheduler, this.right,
+				Map.of("servers", this.outdated), this.right, DecisionLog.NONE);
 		first.start();
 		second.start();
 	}
@@ -55,24 +55,24 @@
 		// Symptom: a key that was taken away is still served by one daemon. Sequence: the
 		// store turns that daemon away, then the operator's document changes. Cause: the
 		// store alone would tell.
-		this.cutOff.list(batch(10, "a", "b"));
-		this.heard.clear();
-		this.fresh.changes(new WatchBatch(12, false, List.of(FakeStore.object("c", 11)), List.of("a")));
-		this.scheduler.advance(PeerCopies.PAUSE.multipliedBy(2));
-		Truth.assertThat(this.heard).containsExactly("+c", "-a");
-		Truth.assertThat(this.cutOff.complete()).isEqualTo(12);
+		this.outdated.applyList(batch(10, "a", "b"));
+		this.changes.clear();
+		this.current.applyChanges(new WatchBatch(12, false, List.of(FakeStore.object("c", 11)), List.of("a")));
+		this.scheduler.advance(PeerCopies.DIGEST_INTERVAL.multipliedBy(2));
+		Truth.assertThat(this.changes).containsExactly("+c", "-a");
+		Truth.assertThat(this.outdated.complete()).isEqualTo(12);
 	}
 
 	@Test
 	void aDaemonThatStartsWithoutTheStoreGetsEverything() {
-		this.scheduler.advance(PeerCopies.PAUSE.multipliedBy(2));
-		Truth.assertThat(this.heard).containsExactly("+a", "+b");
-		Truth.assertThat(this.cutOff.complete()).isEqualTo(10);
+		this.scheduler.advance(PeerCopies.DIGEST_INTERVAL.multipliedBy(2));
+		Truth.assertThat(this.changes).containsExactly("+a", "+b");
+		Truth.assertThat(this.outdated.complete()).isEqualTo(10);
 	}
 
 	@Test
 	void nothingIsSentBetweenDaemonsThatKnowTheSame() {
-		this.scheduler.advance(PeerCopies.PAUSE.multipliedBy(2));
+		this.scheduler.advance(PeerCopies.DIGEST_INTERVAL.multipliedBy(2));
 		this.left.sent.clear();
 		this.right.sent.clear();
 		this.scheduler.advance(Duration.ofSeconds(5));
@@ -89,7 +89,7 @@
 	/**
 	 * One end of a connection that delivers at once.
 	 */
-	private final class Pipe implements PeerNetwork, NewsRoutes {
+	private final class Connection implements PeerNetwork, NewsRoutes {
 
 		private final Incarnation self;
 
@@ -97,9 +97,9 @@
 
 		private final Map<Class<?>, Integer> sent = new HashMap<>();
 
-		private Pipe other;
+		private Connection other;
 
-		private Pipe(String name) {
+		private Connection(String name) {
 			this.self = new Incarnation(new VmId(name), 1);
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/QueuedNewsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/QueuedUpdatesTests.java
@@ -18,24 +18,24 @@
  * tell to the daemons there, which know each other and their relays. The store answers
  * everybody. A change must be in force within {@link #WITHIN}.
  */
-class QueuedNewsTests {
+class QueuedUpdatesTests {
 
 	private static final Duration WITHIN = Duration.ofSeconds(3);
 
-	private static final int NEAR = 24;
+	private static final int LEAVES = 24;
 
 	/** Each comes at another moment between the daemons' checks. */
 	private static final int CHANGES = 20;
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
-	private final FakeFleet fleet = new FakeFleet(this.scheduler, WITHIN);
+	private final SimulatedFleet fleet = new SimulatedFleet(this.scheduler, WITHIN);
 
 	@BeforeEach
 	void start() {
-		this.fleet.topology(new RelayedTopology(NEAR));
+		this.fleet.topology(new RelayedTopology(LEAVES));
 		this.fleet.store().change("first");
-		this.fleet.start(RelayedTopology.RELAYS + NEAR);
+		this.fleet.start(RelayedTopology.RELAYS + LEAVES);
 		this.scheduler.advance(Duration.ofSeconds(10));
 	}
 
@@ -68,7 +68,7 @@
 		return this.fleet.daemons()
 			.stream()
 			.filter((daemon) -> !daemon.knows(name))
-			.map(FakeFleet.Daemon::rank)
+			.map(SimulatedFleet.Daemon::rank)
 			.toList();
 	}
 
@@ -77,7 +77,7 @@
 		for (int step = 1; step <= steps; step++) {
 			for (int rank = 0; rank < RelayedTopology.RELAYS; rank++) {
 				Duration most = (rank < 2) ? watching : passing;
-				this.fleet.daemons().get(rank).queued(most.multipliedBy(step).dividedBy(steps));
+				this.fleet.daemons().get(rank).queueDelay(most.multipliedBy(step).dividedBy(steps));
 			}
 			this.scheduler.advance(Duration.ofMillis(250));
 		}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/QueueingDelaysTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/QueueingDelaysTests.java
@@ -87,7 +87,7 @@
 	@Test
 	void aQueueThatStandsForTenMinutesIsSeenAllTheTime() {
 		answer(0, 0, 0);
-		for (int second = 0; second < QueueingDelays.SPAN.toSeconds(); second += 10) {
+		for (int second = 0; second < QueueingDelays.WINDOW.toSeconds(); second += 10) {
 			Truth.assertThat(push(4_000)).hasValue(4_000 + QUICKEST);
 			this.scheduler.advance(Duration.ofSeconds(5));
 		}
@@ -124,15 +124,15 @@
 		Incarnation before = new Incarnation(SELF.vm(), 0);
 		SendingTimes times = new SendingTimes(1, before, 1, 0);
 		Truth.assertThat(this.delays.waitedMillis(PEER, times)).isEmpty();
-		Truth.assertThat(this.delays.unheard(times)).isTrue();
+		Truth.assertThat(this.delays.lacksEcho(times)).isTrue();
 	}
 
 	@Test
 	void anAnswerNamesTheLastMessageHeardAndHowLongAgoThatWas() {
-		Truth.assertThat(this.delays.to(PEER.vm()).heard()).isNull();
+		Truth.assertThat(this.delays.forPeer(PEER.vm()).addressee()).isNull();
 		this.delays.waitedMillis(PEER, new SendingTimes(700, null, 0, 0));
 		this.scheduler.advance(Duration.ofMillis(80));
-		Truth.assertThat(this.delays.to(PEER.vm())).isEqualTo(new SendingTimes(80, PEER, 700, 80));
+		Truth.assertThat(this.delays.forPeer(PEER.vm())).isEqualTo(new SendingTimes(80, PEER, 700, 80));
 	}
 
 	@Test
@@ -149,7 +149,7 @@
 	}
 
 	private OptionalLong answer(long questionWaits, long held, long answerWaits) {
-		long asked = this.delays.toMany().sentMillis();
+		long asked = this.delays.forBroadcast().sentMillis();
 		this.scheduler.advance(Duration.ofMillis(questionWaits + TRAVEL + held));
 		return arrives(answerWaits, SELF, asked, held);
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/RelayedTopology.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/RelayedTopology.java
@@ -11,32 +11,32 @@
  * <p>
  * Immutable.
  */
-final class RelayedTopology implements FakeFleet.Topology {
+final class RelayedTopology implements SimulatedFleet.Topology {
 
 	/** The relays of both data centres, which have the first ranks. */
 	static final int RELAYS = 4;
 
 	private static final Set<Integer> WATCHING = Set.of(0, 1);
 
-	private static final Set<Integer> PASSING = Set.of(2, 3);
+	private static final Set<Integer> FORWARDING = Set.of(2, 3);
 
-	private final int near;
+	private final int leaves;
 
 	/**
 	 * Makes the topology.
 	 * @param near the daemons that aren't relays
 	 */
 	RelayedTopology(int near) {
-		this.near = near;
+		this.leaves = near;
 	}
 
 	@Override
 	public Set<Integer> connected(int rank) {
 		if (rank >= RELAYS) {
 			int place = rank - RELAYS;
-			Set<Integer> known = new HashSet<>(PASSING);
-			for (int step : new int[] { 1, 5, this.near - 5, this.near - 1 }) {
-				known.add(RELAYS + (place + step) % this.near);
+			Set<Integer> known = new HashSet<>(FORWARDING);
+			for (int step : new int[] { 1, 5, this.leaves - 5, this.leaves - 1 }) {
+				known.add(RELAYS + (place + step) % this.leaves);
 			}
 			return known;
 		}
@@ -45,12 +45,12 @@
 
 	@Override
 	public Set<Integer> firstHand(int rank) {
-		Set<Integer> told = new HashSet<>(PASSING);
+		Set<Integer> told = new HashSet<>(FORWARDING);
 		if (rank < RELAYS) {
 			told.addAll(WATCHING);
 		}
-		if (PASSING.contains(rank)) {
-			told.addAll(near());
+		if (FORWARDING.contains(rank)) {
+			told.addAll(leaves());
 		}
 		told.remove(rank);
 		return told;
@@ -58,10 +58,10 @@
 
 	@Override
 	public Set<Integer> passedOn(int rank, int from) {
-		if (!PASSING.contains(rank)) {
+		if (!FORWARDING.contains(rank)) {
 			return Set.of();
 		}
-		Set<Integer> told = near();
+		Set<Integer> told = leaves();
 		if (from >= RELAYS) {
 			told.addAll(WATCHING);
 		}
@@ -69,9 +69,9 @@
 		return told;
 	}
 
-	private Set<Integer> near() {
+	private Set<Integer> leaves() {
 		Set<Integer> ranks = new HashSet<>();
-		for (int rank = RELAYS; rank < RELAYS + this.near; rank++) {
+		for (int rank = RELAYS; rank < RELAYS + this.leaves; rank++) {
 			ranks.add(rank);
 		}
 		return ranks;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FakeFleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedFleet.java
@@ -28,20 +28,20 @@
  * connections are played. The daemons are in ranked order. Messages between two daemons
  * arrive in the order of sending. Confined to the test's thread.
  */
-final class FakeFleet {
+final class SimulatedFleet {
 
 	/** Daemons don't start in step; if they did, their rounds would meet for ever. */
 	private static final Duration START_GAP = Duration.ofMillis(17);
 
 	private final ManualScheduler scheduler;
 
-	private final PlayedStore store;
+	private final SimulatedStore store;
 
 	private final FollowTimes times;
 
 	private final List<Daemon> daemons = new ArrayList<>();
 
-	private Topology topology = new AllWithAll();
+	private Topology topology = new FullMesh();
 
 	private int copiesSent;
 
@@ -52,9 +52,9 @@
 	 * @param scheduler the clock of the store and of all daemons
 	 * @param within the time within which a change must be in force
 	 */
-	FakeFleet(ManualScheduler scheduler, Duration within) {
+	SimulatedFleet(ManualScheduler scheduler, Duration within) {
 		this.scheduler = scheduler;
-		this.store = new PlayedStore(scheduler);
+		this.store = new SimulatedStore(scheduler);
 		this.times = FollowTimes.within(within);
 	}
 
@@ -91,7 +91,7 @@
 		return this.daemons;
 	}
 
-	PlayedStore store() {
+	SimulatedStore store() {
 		return this.store;
 	}
 
@@ -104,7 +104,7 @@
 	}
 
 	/** From now on objects are too large to be sent from daemon to daemon. */
-	void refuseCopies() {
+	void rejectCopies() {
 		this.tooLarge = true;
 	}
 
@@ -140,12 +140,12 @@
 	/**
 	 * All daemons are connected with all, as in a small fleet.
 	 */
-	private final class AllWithAll implements Topology {
+	private final class FullMesh implements Topology {
 
 		@Override
 		public Set<Integer> connected(int rank) {
 			Set<Integer> others = new TreeSet<>();
-			FakeFleet.this.daemons.stream()
+			SimulatedFleet.this.daemons.stream()
 				.filter((daemon) -> daemon.rank != rank)
 				.forEach((daemon) -> others.add(daemon.rank));
 			return others;
@@ -169,7 +169,7 @@
 	final class Daemon implements PeerNetwork, NewsRoutes, FollowOrder {
 
 		/** What a message between two daemons takes on a link that isn't busy. */
-		private static final Duration TRAVEL = Duration.ofMillis(1);
+		private static final Duration LINK_DELAY = Duration.ofMillis(1);
 
 		private final int rank;
 
@@ -180,9 +180,9 @@
 		private final FollowedKind copies = new FollowedKind((object) -> {
 		});
 
-		private final PausableScheduler clock = new PausableScheduler(FakeFleet.this.scheduler);
+		private final PausableScheduler clock = new PausableScheduler(SimulatedFleet.this.scheduler);
 
-		private final PlayedStore.Access store = FakeFleet.this.store.new Access(this.clock);
+		private final SimulatedStore.Access store = SimulatedFleet.this.store.new Access(this.clock);
 
 		private final PeerCopies exchange;
 
@@ -190,7 +190,7 @@
 
 		private boolean peers = true;
 
-		private Duration queued = Duration.ZERO;
+		private Duration queueDelay = Duration.ZERO;
 
 		private long arrivesAt;
 
@@ -199,12 +199,12 @@
 		private Daemon(int rank) {
 			this.rank = rank;
 			this.self = new Incarnation(new VmId("d" + rank), 1);
-			this.exchange = new PeerCopies(this.self, this.clock, this, Map.of(PlayedStore.KIND, this.copies), this,
+			this.exchange = new PeerCopies(this.self, this.clock, this, Map.of(SimulatedStore.KIND, this.copies), this,
 					DecisionLog.NONE);
-			this.follower = new StoreFollower(PlayedStore.KIND, this.clock, new Random(rank), this.store, this.copies,
-					this, FakeFleet.this.times, DecisionLog.NONE);
-			this.follower
-				.onNews((from) -> this.exchange.push(PlayedStore.KIND, from, this.follower.sinceOutage(), rank == 0));
+			this.follower = new StoreFollower(SimulatedStore.KIND, this.clock, new Random(rank), this.store,
+					this.copies, this, SimulatedFleet.this.times, DecisionLog.NONE);
+			this.follower.onUpdate(
+					(from) -> this.exchange.push(SimulatedStore.KIND, from, this.follower.sinceOutage(), rank == 0));
 		}
 
 		private void start() {
@@ -212,7 +212,7 @@
 			this.exchange.start();
 		}
 
-		PlayedStore.Access store() {
+		SimulatedStore.Access store() {
 			return this.store;
 		}
 
@@ -227,7 +227,7 @@
 			return (own.compareTo(heard) < 0) ? own : heard;
 		}
 
-		boolean hearsPeers() {
+		boolean connectedToPeers() {
 			return this.peers;
 		}
 
@@ -238,51 +238,51 @@
 		void freeze(Duration span) {
 			this.frozenUntil = Math.max(this.frozenUntil, this.clock.nanos() + span.toNanos());
 			this.clock.pause();
-			FakeFleet.this.scheduler.schedule(span, this::thaw);
+			SimulatedFleet.this.scheduler.schedule(span, this::unfreeze);
 		}
 
-		private void thaw() {
+		private void unfreeze() {
 			if (this.clock.nanos() >= this.frozenUntil) {
 				this.clock.resume();
 			}
 		}
 
 		/** Ends the daemon's connections with its peers. */
-		void losePeers() {
+		void disconnectPeers() {
 			this.peers = false;
 		}
 
 		/** Ends all that the daemon hears, without an error. */
-		void cutOff() {
-			losePeers();
-			this.store.link(PlayedStore.Link.SILENT);
+		void isolate() {
+			disconnectPeers();
+			this.store.link(SimulatedStore.Link.SILENT);
 		}
 
 		/**
 		 * Sets how long what the daemon sends from now on waits before it travels.
 		 * @param time the time in queues
 		 */
-		void queued(Duration time) {
-			this.queued = time;
+		void queueDelay(Duration time) {
+			this.queueDelay = time;
 		}
 
 		boolean knows(String name) {
-			return this.copies.after(0).stream().anyMatch((copy) -> copy.name().equals(name));
+			return this.copies.changedAfter(0).stream().anyMatch((copy) -> copy.name().equals(name));
 		}
 
 		@Override
 		public boolean send(VmId to, PeerMessage message) {
 			if (message instanceof CopiesTold told && !told.objects().isEmpty()) {
-				if (FakeFleet.this.tooLarge) {
+				if (SimulatedFleet.this.tooLarge) {
 					return false;
 				}
-				FakeFleet.this.copiesSent++;
+				SimulatedFleet.this.copiesSent++;
 			}
-			long now = FakeFleet.this.scheduler.nanos();
-			this.arrivesAt = Math.max(this.arrivesAt, now + this.queued.plus(TRAVEL).toNanos());
-			for (Daemon other : FakeFleet.this.daemons) {
+			long now = SimulatedFleet.this.scheduler.nanos();
+			this.arrivesAt = Math.max(this.arrivesAt, now + this.queueDelay.plus(LINK_DELAY).toNanos());
+			for (Daemon other : SimulatedFleet.this.daemons) {
 				if (other.self.vm().equals(to) && this.peers && other.peers) {
-					FakeFleet.this.scheduler.schedule(Duration.ofNanos(this.arrivesAt - now),
+					SimulatedFleet.this.scheduler.schedule(Duration.ofNanos(this.arrivesAt - now),
 							() -> other.clock.execute(() -> other.received(this, message)));
 				}
 			}
@@ -296,7 +296,7 @@
 
 		@Override
 		public Set<VmId> connected() {
-			return vms(FakeFleet.this.topology.connected(this.rank));
+			return vms(SimulatedFleet.this.topology.connected(this.rank));
 		}
 
 		@Override
@@ -306,12 +306,12 @@
 
 		@Override
 		public Collection<VmId> firstHand() {
-			return vms(FakeFleet.this.topology.firstHand(this.rank));
+			return vms(SimulatedFleet.this.topology.firstHand(this.rank));
 		}
 
 		@Override
 		public Collection<VmId> passedOn(VmId from) {
-			return vms(FakeFleet.this.topology.passedOn(this.rank, Integer.parseInt(from.value().substring(1))));
+			return vms(SimulatedFleet.this.topology.passedOn(this.rank, Integer.parseInt(from.value().substring(1))));
 		}
 
 		private static Set<VmId> vms(Set<Integer> ranks) {
@@ -326,8 +326,8 @@
 		}
 
 		@Override
-		public boolean alone() {
-			return this.exchange.alone();
+		public boolean isolated() {
+			return this.exchange.isolated();
 		}
 
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/PlayedStore.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedStore.java
@@ -20,13 +20,13 @@
  * A store on a manual clock that many daemons follow, each by an access of its own that
  * can be taken away. Confined to the test's thread.
  */
-final class PlayedStore {
+final class SimulatedStore {
 
 	/** The kind of all objects here. */
 	static final String KIND = "servers";
 
 	/** The time limit of a call beyond what it asks the store to wait. */
-	private static final Duration UNANSWERED = Duration.ofMillis(1_200);
+	private static final Duration CALL_OVERRUN = Duration.ofMillis(1_200);
 
 	private static final Duration REFUSAL = Duration.ofMillis(4);
 
@@ -34,13 +34,13 @@
 
 	private final Map<String, StoredObject> stored = new TreeMap<>();
 
-	private final List<Waiting> waiting = new ArrayList<>();
+	private final List<PendingWatch> waiting = new ArrayList<>();
 
 	private long revision = 1;
 
 	private int calls;
 
-	PlayedStore(ManualScheduler scheduler) {
+	SimulatedStore(ManualScheduler scheduler) {
 		this.scheduler = scheduler;
 	}
 
@@ -60,14 +60,14 @@
 		this.revision++;
 		StoredObject object = new StoredObject(new ObjectKey(KIND, name), this.revision, new byte[1]);
 		this.stored.put(name, object);
-		List<Waiting> answered = this.waiting.stream().filter((call) -> !call.deaf).toList();
+		List<PendingWatch> answered = this.waiting.stream().filter((call) -> !call.silent).toList();
 		this.waiting.removeAll(answered);
 		answered.forEach((call) -> call.answer(new WatchBatch(this.revision, false, List.of(object))));
 	}
 
 	/** Makes every connection on which a watch waits silent. */
-	void deafen() {
-		this.waiting.forEach((call) -> call.deaf = true);
+	void silenceWatches() {
+		this.waiting.forEach((call) -> call.silent = true);
 	}
 
 	private CompletableFuture<WatchBatch> failing(Duration after) {
@@ -131,9 +131,9 @@
 		 */
 		void link(Link newLink) {
 			this.link = newLink;
-			PlayedStore.this.waiting.stream()
+			SimulatedStore.this.waiting.stream()
 				.filter((call) -> call.call == this.watch)
-				.forEach((call) -> call.deaf = true);
+				.forEach((call) -> call.silent = true);
 		}
 
 		int calls() {
@@ -144,44 +144,44 @@
 		public CompletableFuture<WatchBatch> list(String kind) {
 			count();
 			if (this.link != Link.WORKS) {
-				return heard(unanswered(Duration.ZERO));
+				return deliver(unanswered(Duration.ZERO));
 			}
-			return heard(CompletableFuture.completedFuture(
-					new WatchBatch(PlayedStore.this.revision, false, List.copyOf(PlayedStore.this.stored.values()))));
+			return deliver(CompletableFuture.completedFuture(new WatchBatch(SimulatedStore.this.revision, false,
+					List.copyOf(SimulatedStore.this.stored.values()))));
 		}
 
 		@Override
 		public CompletableFuture<WatchBatch> watch(String kind, long after, Duration wait) {
 			count();
 			this.watch = (this.link == Link.WORKS) ? answered(after, wait) : unanswered(wait);
-			return heard(this.watch);
+			return deliver(this.watch);
 		}
 
 		private CompletableFuture<WatchBatch> answered(long after, Duration wait) {
-			List<StoredObject> changed = PlayedStore.this.stored.values()
+			List<StoredObject> changed = SimulatedStore.this.stored.values()
 				.stream()
 				.filter((object) -> object.version() > after)
 				.toList();
 			if (!changed.isEmpty()) {
-				return CompletableFuture.completedFuture(new WatchBatch(PlayedStore.this.revision, false, changed));
+				return CompletableFuture.completedFuture(new WatchBatch(SimulatedStore.this.revision, false, changed));
 			}
 			CompletableFuture<WatchBatch> call = new CompletableFuture<>();
-			PlayedStore.this.waiting.add(new Waiting(call, wait));
+			SimulatedStore.this.waiting.add(new PendingWatch(call, wait));
 			return call;
 		}
 
 		private CompletableFuture<WatchBatch> unanswered(Duration wait) {
-			return failing((this.link == Link.REFUSED) ? REFUSAL : wait.plus(UNANSWERED));
+			return failing((this.link == Link.REFUSED) ? REFUSAL : wait.plus(CALL_OVERRUN));
 		}
 
-		private CompletableFuture<WatchBatch> heard(CompletableFuture<WatchBatch> call) {
+		private CompletableFuture<WatchBatch> deliver(CompletableFuture<WatchBatch> call) {
 			CompletableFuture<WatchBatch> heard = new CompletableFuture<>();
 			call.whenComplete((batch, failure) -> this.process.execute(() -> {
 				if (failure != null) {
 					heard.completeExceptionally(failure);
 					return;
 				}
-				this.answeredAt = PlayedStore.this.scheduler.nanos();
+				this.answeredAt = SimulatedStore.this.scheduler.nanos();
 				heard.complete(batch);
 			}));
 			return heard;
@@ -189,7 +189,7 @@
 
 		private void count() {
 			this.calls++;
-			PlayedStore.this.calls++;
+			SimulatedStore.this.calls++;
 		}
 
 	}
@@ -197,24 +197,24 @@
 	/**
 	 * A watch that the store holds.
 	 */
-	private final class Waiting {
+	private final class PendingWatch {
 
 		private final CompletableFuture<WatchBatch> call;
 
 		private final Cancellable end;
 
-		private boolean deaf;
+		private boolean silent;
 
-		private Waiting(CompletableFuture<WatchBatch> call, Duration wait) {
+		private PendingWatch(CompletableFuture<WatchBatch> call, Duration wait) {
 			this.call = call;
-			this.end = PlayedStore.this.scheduler.schedule(wait, this::expire);
-			failLater(call, wait.plus(UNANSWERED));
+			this.end = SimulatedStore.this.scheduler.schedule(wait, this::expire);
+			failLater(call, wait.plus(CALL_OVERRUN));
 		}
 
 		private void expire() {
-			if (!this.deaf) {
-				PlayedStore.this.waiting.remove(this);
-				this.call.complete(new WatchBatch(PlayedStore.this.revision, false, List.of()));
+			if (!this.silent) {
+				SimulatedStore.this.waiting.remove(this);
+				this.call.complete(new WatchBatch(SimulatedStore.this.revision, false, List.of()));
 			}
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SlowLinkTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SlowLinkTests.java
@@ -76,7 +76,7 @@
 		List<Long> readAt = new ArrayList<>();
 		for (int version = 1; version <= versions; version++) {
 			readAt.add(this.scheduler.nanos());
-			this.relay.kind.changes(new WatchBatch(version, false, List.of(document(version, routes))));
+			this.relay.kind.applyChanges(new WatchBatch(version, false, List.of(document(version, routes))));
 			this.relay.copies.push(KIND, version - 1, Duration.ofDays(1), true);
 			this.scheduler.advance(Duration.ofMillis(pause));
 		}
@@ -148,7 +148,7 @@
 
 		private Daemon(String name) {
 			this.self = new Incarnation(new VmId(name), 1);
-			this.kind.list(new WatchBatch(0, false, List.of()));
+			this.kind.applyList(new WatchBatch(0, false, List.of()));
 			this.copies = new PeerCopies(this.self, SlowLinkTests.this.scheduler, this, Map.of(KIND, this.kind), this,
 					DecisionLog.NONE);
 			listen(LoadSummed.class, (from, message) -> {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/StoreFollowerTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/StoreFollowerTests.java
@@ -26,20 +26,20 @@
 
 	private final FakeStore store = new FakeStore();
 
-	private final List<String> heard = new ArrayList<>();
+	private final List<String> changes = new ArrayList<>();
 
 	private final FollowedKind copies = new FollowedKind(
-			(object) -> this.heard.add((object.deleted() ? "-" : "+") + object.name() + object.revision()));
+			(object) -> this.changes.add((object.deleted() ? "-" : "+") + object.name() + object.revision()));
 
 	private static final FollowTimes TIMES = FollowTimes.within(Duration.ofSeconds(2));
 
 	private int rank;
 
-	private boolean alone;
+	private boolean isolated;
 
 	private long askedAt;
 
-	private final List<Long> told = new ArrayList<>();
+	private final List<Long> updates = new ArrayList<>();
 
 	private final StoreFollower follower = new StoreFollower("servers", this.scheduler, new Random(1), this.store,
 			this.copies, new FollowOrder() {
@@ -50,21 +50,21 @@
 				}
 
 				@Override
-				public boolean alone() {
-					return StoreFollowerTests.this.alone;
+				public boolean isolated() {
+					return StoreFollowerTests.this.isolated;
 				}
 
 			}, TIMES, DecisionLog.NONE);
 
 	@BeforeEach
 	void start() {
-		this.follower.onNews(this.told::add);
+		this.follower.onUpdate(this.updates::add);
 		this.follower.start();
 		this.store.cachedLists.poll()
 			.complete(new WatchBatch(10, false, List.of(FakeStore.object("a", 3), FakeStore.object("b", 5))));
-		this.scheduler.advance(StoreFollower.PEERS_FIRST);
+		this.scheduler.advance(StoreFollower.PEER_WAIT);
 		this.askedAt = this.scheduler.nanos();
-		this.scheduler.advance(StoreFollower.TURN);
+		this.scheduler.advance(StoreFollower.TICK);
 	}
 
 	@Test
@@ -73,18 +73,18 @@
 		// start, until the next one. Sequence: the list is seconds old, its revision is
 		// that of now; the daemon watches from there. Cause: what changed between is in
 		// neither.
-		Truth.assertThat(this.heard).containsExactly("+a3", "+b5");
+		Truth.assertThat(this.changes).containsExactly("+a3", "+b5");
 		Truth.assertThat(this.store.watchedFrom).isEqualTo(5);
 		this.store.watches.poll().complete(new WatchBatch(10, false, List.of(FakeStore.object("a", 9)), List.of("b")));
-		Truth.assertThat(this.heard).containsExactly("+a3", "+b5", "+a9", "-b10").inOrder();
+		Truth.assertThat(this.changes).containsExactly("+a3", "+b5", "+a9", "-b10").inOrder();
 	}
 
 	@Test
 	void watchesOnFromWhatAWatchBrought() {
-		Truth.assertThat(this.heard).containsExactly("+a3", "+b5");
+		Truth.assertThat(this.changes).containsExactly("+a3", "+b5");
 		this.store.watches.poll().complete(new WatchBatch(12, false, List.of(FakeStore.object("c", 11)), List.of("a")));
-		Truth.assertThat(this.heard).containsExactly("+a3", "+b5", "+c11", "-a12").inOrder();
-		this.scheduler.advance(TIMES.gather().plus(StoreFollower.TURN));
+		Truth.assertThat(this.changes).containsExactly("+a3", "+b5", "+c11", "-a12").inOrder();
+		this.scheduler.advance(TIMES.coalesce().plus(StoreFollower.TICK));
 		Truth.assertThat(this.store.watchedFrom).isEqualTo(12);
 	}
 
@@ -94,9 +94,9 @@
 		// endpoints register one after the other, 76 daemons watch. Cause: each change
 		// answers the watches, and all ask anew at once.
 		this.store.watches.poll().complete(new WatchBatch(12, false, List.of(FakeStore.object("c", 11))));
-		this.scheduler.advance(TIMES.gather().minusMillis(1));
+		this.scheduler.advance(TIMES.coalesce().minusMillis(1));
 		Truth.assertThat(this.store.watches).isEmpty();
-		this.scheduler.advance(StoreFollower.TURN);
+		this.scheduler.advance(StoreFollower.TICK);
 		Truth.assertThat(this.store.watches).hasSize(1);
 		this.store.watches.poll().complete(new WatchBatch(12, false, List.of()));
 		Truth.assertThat(this.store.watches).hasSize(1);
@@ -105,7 +105,7 @@
 	@Test
 	void tellsWhereItsNewsBegin() {
 		this.store.watches.poll().complete(new WatchBatch(12, false, List.of(FakeStore.object("c", 11))));
-		Truth.assertThat(this.told).containsExactly(5L);
+		Truth.assertThat(this.updates).containsExactly(5L);
 		Truth.assertThat(this.copies.confirmedAt()).isEqualTo(this.askedAt);
 	}
 
@@ -117,7 +117,7 @@
 	@CsvSource({ "false, 5000, 9000", "true, 0, 9000", "false, 3000, 3000" })
 	void newsAreAsOldAsTheStoresAnswerMayBe(boolean changed, long confirmedMillis, long readMillis) {
 		CompletableFuture<WatchBatch> watch = this.store.watches.poll();
-		this.scheduler.advance(Duration.ofMillis(readMillis).minus(StoreFollower.TURN));
+		this.scheduler.advance(Duration.ofMillis(readMillis).minus(StoreFollower.TICK));
 		watch.complete(new WatchBatch(12, false, changed ? List.of(FakeStore.object("c", 11)) : List.of()));
 		Truth.assertThat(this.copies.confirmedAt() - this.askedAt).isEqualTo(confirmedMillis * 1_000_000);
 	}
@@ -129,7 +129,7 @@
 	void aWatcherAsksShortlyUntilTheStoreAnswersAgain() {
 		this.store.watches.poll()
 			.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "silent"));
-		this.scheduler.advance(StoreFollower.SHORTEST_PAUSE.multipliedBy(2));
+		this.scheduler.advance(StoreFollower.MIN_BACKOFF.multipliedBy(2));
 		Truth.assertThat(this.store.waited).isLessThan(Duration.ofMillis(10));
 		this.store.watches.poll().complete(new WatchBatch(11, false, List.of()));
 		Truth.assertThat(this.store.waited).isEqualTo(TIMES.watch());
@@ -141,8 +141,8 @@
 		// connection goes silent, the store changes, a peer tells of it. Cause: the
 		// silent connection never reports an error.
 		Truth.assertThat(this.store.watches).hasSize(1);
-		this.copies.fromPeer(5, 12, List.of(new FollowedObject("c", 12, new byte[1])));
-		this.scheduler.advance(StoreFollower.OVERTAKEN.plus(StoreFollower.TURN.multipliedBy(2)));
+		this.copies.applyFromPeer(5, 12, List.of(new FollowedObject("c", 12, new byte[1])));
+		this.scheduler.advance(StoreFollower.STALLED_AFTER.plus(StoreFollower.TICK.multipliedBy(2)));
 		Truth.assertThat(this.store.watches).hasSize(2);
 		Truth.assertThat(this.store.watchedFrom).isEqualTo(12);
 	}
@@ -162,7 +162,7 @@
 		// drops its history, an entry is deleted in the gap. Cause: no event tells of it.
 		this.store.watches.poll().complete(new WatchBatch(10, true, List.of()));
 		this.store.lists.poll().complete(new WatchBatch(20, false, List.of(FakeStore.object("b", 5))));
-		Truth.assertThat(this.heard).containsExactly("+a3", "+b5", "-a20").inOrder();
+		Truth.assertThat(this.changes).containsExactly("+a3", "+b5", "-a20").inOrder();
 		Truth.assertThat(this.copies.complete()).isEqualTo(20);
 	}
 
@@ -172,9 +172,9 @@
 		// 30,
 		// then a list asked for before arrives. Cause: lists and peers overtake each
 		// other.
-		this.copies.fromPeer(5, 30, List.of(new FollowedObject("a", 30, null)));
-		this.copies.list(new WatchBatch(20, false, List.of(FakeStore.object("a", 3))));
-		Truth.assertThat(this.heard).containsExactly("+a3", "+b5", "-a30").inOrder();
+		this.copies.applyFromPeer(5, 30, List.of(new FollowedObject("a", 30, null)));
+		this.copies.applyList(new WatchBatch(20, false, List.of(FakeStore.object("a", 3))));
+		Truth.assertThat(this.changes).containsExactly("+a3", "+b5", "-a30").inOrder();
 	}
 
 	@Test
@@ -182,11 +182,11 @@
 		Truth.assertThat(this.follower.sinceFailure()).isGreaterThan(Duration.ofSeconds(3));
 		this.store.watches.poll()
 			.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "busy"));
-		Truth.assertThat(this.follower.away()).isTrue();
+		Truth.assertThat(this.follower.unavailable()).isTrue();
 		Truth.assertThat(this.store.watches).isEmpty();
-		this.scheduler.advance(StoreFollower.SHORTEST_PAUSE.multipliedBy(2));
+		this.scheduler.advance(StoreFollower.MIN_BACKOFF.multipliedBy(2));
 		this.store.watches.poll().complete(new WatchBatch(11, false, List.of()));
-		Truth.assertThat(this.follower.away()).isFalse();
+		Truth.assertThat(this.follower.unavailable()).isFalse();
 		Truth.assertThat(this.follower.sinceFailure()).isLessThan(Duration.ofSeconds(3));
 		this.scheduler.advance(Duration.ofSeconds(3));
 		Truth.assertThat(this.follower.sinceFailure()).isAtLeast(Duration.ofSeconds(3));
@@ -204,7 +204,7 @@
 			this.store.watches.poll()
 				.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "busy"));
 			while (this.store.watches.isEmpty()) {
-				this.scheduler.advance(StoreFollower.TURN);
+				this.scheduler.advance(StoreFollower.TICK);
 			}
 		}
 		this.scheduler.advance(Duration.ofSeconds(1));
@@ -218,7 +218,7 @@
 		this.store.watches.poll()
 			.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "cut off"));
 		Truth.assertThat(this.follower.sinceOutage()).isGreaterThan(Duration.ofSeconds(3));
-		this.scheduler.advance(StoreFollower.SHORTEST_PAUSE.multipliedBy(2));
+		this.scheduler.advance(StoreFollower.MIN_BACKOFF.multipliedBy(2));
 		this.store.watches.poll()
 			.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "busy"));
 		Truth.assertThat(this.follower.sinceOutage()).isLessThan(Duration.ofSeconds(3));
@@ -232,13 +232,13 @@
 		// one that all others depend on.
 		this.rank = place;
 		int asked = 0;
-		for (Duration spent = Duration.ZERO; spent.toSeconds() < 10; spent = spent.plus(StoreFollower.TURN)) {
+		for (Duration spent = Duration.ZERO; spent.toSeconds() < 10; spent = spent.plus(StoreFollower.TICK)) {
 			while (!this.store.watches.isEmpty()) {
 				asked++;
 				this.store.watches.poll()
 					.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "busy"));
 			}
-			this.scheduler.advance(StoreFollower.TURN);
+			this.scheduler.advance(StoreFollower.TICK);
 		}
 		Truth.assertThat(asked).isIn(Range.closed(least, most));
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/EntryListTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/EntryListTests.java
@@ -34,9 +34,9 @@
 
 	private final Fleet fleet = new Fleet();
 
-	private final Knowledge knowledge = new Knowledge();
+	private final FakeView view = new FakeView();
 
-	private final EntryList entries = new EntryList(this.scheduler, this.fleet, this.fleet, this.knowledge,
+	private final EntryList entries = new EntryList(this.scheduler, this.fleet, this.fleet, this.view,
 			DecisionLog.NONE);
 
 	@Test
@@ -62,7 +62,7 @@
 		// after three seconds only.
 		this.fleet.connected.addAll(List.of(vm("b"), vm("c")));
 		this.entries.observe();
-		this.knowledge.unheard.add(vm("c"));
+		this.view.unresponsive.add(vm("c"));
 		Truth.assertThat(this.entries.addresses(false)).containsExactly("a:80", "b:80");
 	}
 
@@ -80,8 +80,8 @@
 		if (!met) {
 			this.fleet.members.removeIf((member) -> !member.vm().equals(vm("a")));
 		}
-		this.knowledge.informed = informed;
-		this.knowledge.largestListed = OptionalInt.of(listed ? 0 : FleetKnowledge.NO_OTHER);
+		this.view.configured = informed;
+		this.view.largestListed = OptionalInt.of(listed ? 0 : FleetView.NO_OTHER_VM);
 		this.scheduler.advance(Duration.ofMillis(millis));
 		Truth.assertThat(String.join(" ", new TreeSet<>(this.entries.addresses(false)))).isEqualTo(named);
 	}
@@ -93,7 +93,7 @@
 		// VM's daemon starts; before it has read the list of VMs it takes itself for the
 		// only one, opens its port and names itself. Cause: a list that wasn't read was
 		// taken for an empty one.
-		this.knowledge.largestListed = OptionalInt.empty();
+		this.view.largestListed = OptionalInt.empty();
 		this.scheduler.advance(Duration.ofMillis(millis));
 		Truth.assertThat(String.join(" ", new TreeSet<>(this.entries.addresses(false)))).isEqualTo(named);
 	}
@@ -105,7 +105,7 @@
 		// large ones are idle. Sequence: all power is lost; the small VMs' daemons start
 		// last and meet each other before they meet the large ones. Cause: they named
 		// whomever they had met.
-		this.knowledge.largestListed = OptionalInt.of(largestListed);
+		this.view.largestListed = OptionalInt.of(largestListed);
 		this.scheduler.advance(Duration.ofMillis(millis));
 		Truth.assertThat(String.join(" ", new TreeSet<>(this.entries.addresses(false)))).isEqualTo(named);
 	}
@@ -137,17 +137,17 @@
 	/**
 	 * A daemon that has been there for long, unless a test says otherwise.
 	 */
-	private static final class Knowledge implements FleetKnowledge {
+	private static final class FakeView implements FleetView {
 
-		private final Set<VmId> unheard = new HashSet<>();
+		private final Set<VmId> unresponsive = new HashSet<>();
 
-		private boolean informed = true;
+		private boolean configured = true;
 
-		private OptionalInt largestListed = OptionalInt.of(NO_OTHER);
+		private OptionalInt largestListed = OptionalInt.of(NO_OTHER_VM);
 
 		@Override
-		public boolean informed() {
-			return this.informed;
+		public boolean configured() {
+			return this.configured;
 		}
 
 		@Override
@@ -156,8 +156,8 @@
 		}
 
 		@Override
-		public boolean unheard(VmId vm) {
-			return this.unheard.contains(vm);
+		public boolean unresponsive(VmId vm) {
+			return this.unresponsive.contains(vm);
 		}
 
 		@Override
@@ -166,7 +166,7 @@
 		}
 
 		@Override
-		public int underWay() {
+		public int activeRequests() {
 			return 0;
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/EntrySelectionTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/EntrySelectionTests.java
@@ -42,7 +42,7 @@
 		// place
 		// one request a second hear of each other too late, and small VMs start slowly.
 		List<Member> fleet = fleet(large, small);
-		List<Member> chosen = new EntrySelection(false, relays(fleet)).among(fleet, underWay);
+		List<Member> chosen = new EntrySelection(false, relays(fleet)).select(fleet, underWay);
 		Truth.assertThat(chosen.size()).isAtLeast(least);
 		Truth.assertThat(chosen.size()).isAtMost(most);
 		Truth.assertThat(chosen.stream().filter((member) -> member.capacity().equals(LARGE)).count()).isEqualTo(large);
@@ -52,7 +52,7 @@
 	@CsvSource({ "3, 15, 60, 3", "0, 9, 20, 9", "9, 0, 0, 9", "1, 15, 0, 2", "3, 15, 400, 8", "3, 15, 5000, 18" })
 	void aSmallFleetNamesAllOfTheLargestSize(int large, int small, int underWay, int named) {
 		List<Member> fleet = fleet(large, small);
-		Truth.assertThat(new EntrySelection(true, relays(fleet)).among(fleet, underWay)).hasSize(named);
+		Truth.assertThat(new EntrySelection(true, relays(fleet)).select(fleet, underWay)).hasSize(named);
 	}
 
 	@Test
@@ -65,7 +65,7 @@
 		int answers = 2_000;
 		int small = 0;
 		for (int i = 0; i < answers; i++) {
-			List<Member> named = EntrySelection.draw(chosen, random);
+			List<Member> named = EntrySelection.sample(chosen, random);
 			Truth.assertThat(named).containsAtLeastElementsIn(chosen.subList(0, 3));
 			small += named.size() - 3;
 		}
@@ -77,17 +77,17 @@
 	void namesAllIfTheSizeOfOneIsNotKnown() {
 		List<Member> fleet = new ArrayList<>(fleet(6, 85));
 		fleet.add(member("old", VmCapacity.UNKNOWN));
-		List<Member> chosen = new EntrySelection(false, relays(fleet)).among(fleet, 0);
+		List<Member> chosen = new EntrySelection(false, relays(fleet)).select(fleet, 0);
 		Truth.assertThat(chosen).hasSize(92);
-		Truth.assertThat(EntrySelection.draw(chosen, new Random(1))).hasSize(92);
-		Truth.assertThat(EntrySelection.draw(List.of(), new Random(1))).isEmpty();
+		Truth.assertThat(EntrySelection.sample(chosen, new Random(1))).hasSize(92);
+		Truth.assertThat(EntrySelection.sample(List.of(), new Random(1))).isEmpty();
 	}
 
 	@Test
 	void namesWhoeverIsLeft() {
 		List<Member> fleet = fleet(0, 1);
-		Truth.assertThat(new EntrySelection(false, Set.of()).among(fleet, 500)).isEqualTo(fleet);
-		Truth.assertThat(new EntrySelection(false, Set.of()).among(List.of(), 500)).isEmpty();
+		Truth.assertThat(new EntrySelection(false, Set.of()).select(fleet, 500)).isEqualTo(fleet);
+		Truth.assertThat(new EntrySelection(false, Set.of()).select(List.of(), 500)).isEmpty();
 	}
 
 	@ParameterizedTest
@@ -96,10 +96,10 @@
 		Random random = new Random(seed);
 		List<Member> fleet = fleet(random.nextInt(8), 60 + random.nextInt(40));
 		int underWay = random.nextInt(600);
-		Set<Member> before = new HashSet<>(new EntrySelection(false, relays(fleet)).among(fleet, underWay));
+		Set<Member> before = new HashSet<>(new EntrySelection(false, relays(fleet)).select(fleet, underWay));
 		for (Member gone : fleet) {
 			List<Member> rest = fleet.stream().filter((member) -> !member.equals(gone)).toList();
-			Set<Member> moved = new HashSet<>(new EntrySelection(false, relays(rest)).among(rest, underWay));
+			Set<Member> moved = new HashSet<>(new EntrySelection(false, relays(rest)).select(rest, underWay));
 			moved.removeAll(before);
 			// A large one that ends is made up for by as many small ones as do its work.
 			Truth.assertThat(moved.size()).isAtMost(LARGE.millicores() / SMALL.millicores() + 2);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/LeaveSequenceTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/LeaveSequenceTests.java
@@ -49,11 +49,11 @@
 		// Symptom: an answer is cut in the middle. Sequence: a caller with an open
 		// connection sends a stream six seconds after the stop began; the process ends
 		// 1.4 s later. Cause: requests were taken to the last moment.
-		Truth.assertThat(this.leave.takes(Duration.ofMillis(timeLeft))).isTrue();
+		Truth.assertThat(this.leave.accepts(Duration.ofMillis(timeLeft))).isTrue();
 		this.unfinished = 1;
 		this.leave.begin();
 		this.scheduler.advance(Duration.ofMillis(millis));
-		Truth.assertThat(this.leave.takes(Duration.ofMillis(timeLeft))).isEqualTo(taken);
+		Truth.assertThat(this.leave.accepts(Duration.ofMillis(timeLeft))).isEqualTo(taken);
 	}
 
 	@Test
