--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/QueueingDelays.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/QueueingDelays.java
@@ -57,7 +57,7 @@
 	 * Creates the estimates of a daemon that has received no message yet.
 	 * @param self the daemon
 	 * @param clock its monotonic clock
-	 * @param listener notified when messages of a peer start and stop to queue
+	 * @param listener notified when messages of a peer start and stop queueing
 	 */
 	QueueingDelays(Incarnation self, Clock clock, Listener listener) {
 		this.self = self;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/StoreFollower.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/StoreFollower.java
@@ -44,19 +44,19 @@
 	static final Duration TICK = Duration.ofMillis(100);
 
 	/**
-	 * The first pause after a failure; a transient one must cost less than a heartbeat.
+	 * The first pause after a failure: a transient one must cost less than a heartbeat.
 	 */
 	static final Duration MIN_BACKOFF = Duration.ofMillis(50);
 
 	/**
-	 * The longest pause of a watcher: expired entries are evaluated within two seconds.
+	 * The longest pause of a watcher, since expired entries are evaluated in two seconds.
 	 */
 	static final Duration MAX_BACKOFF = Duration.ofMillis(400);
 
 	/** How long a daemon that starts waits for the copies of its peers. */
 	static final Duration PEER_WAIT = Duration.ofMillis(500);
 
-	/** How long peers' copies are ahead of a watch before it counts as silent. */
+	/** How long a watch may lag behind copies of peers before it counts as silent. */
 	static final Duration STALLED_AFTER = Duration.ofMillis(500);
 
 	/** How long a daemon watches after it found a change that no watcher had pushed. */
@@ -285,7 +285,7 @@
 
 	private void watch(Duration wait) {
 		long after = this.copies.complete();
-		boolean standsIn = !isWatcher(this.scheduler.nanos());
+		boolean byNonWatcher = !isWatcher(this.scheduler.nanos());
 		track(this.store.watch(this.kind, after, wait), after, wait, (batch, startedAt) -> {
 			if (batch.gap()) {
 				this.log.belief("store", this.kind, "history", "lost", "revision", after);
@@ -298,7 +298,7 @@
 			if (changed) {
 				this.notBefore = this.scheduler.nanos() + this.times.coalesce().toNanos();
 			}
-			if (changed && standsIn) {
+			if (changed && byNonWatcher) {
 				this.standInUntil = this.scheduler.nanos() + STAND_IN_TIME.toNanos();
 				this.log.belief("store", this.kind, "watchers", "behind", "revision", this.copies.lastChange(), "known",
 						known);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/DaemonRecord.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/DaemonRecord.java
@@ -18,7 +18,7 @@
  * @param dataCentre where it runs
  * @param peerAddress {@code host:port} for peers
  * @param httpAddress {@code host:port} for callers
- * @param leaving true if it is shutting down
+ * @param leaving true once the platform plans to remove the VM
  * @param start the number of its start; see {@link #startAfter}
  * @param capacity the capacity of its VM
  */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/EntryList.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/EntryList.java
@@ -104,12 +104,12 @@
 	 */
 	List<String> addresses(boolean selfLeaves) {
 		List<Member> reachable = new ArrayList<>();
-		List<Member> doubtful = new ArrayList<>();
+		List<Member> suspects = new ArrayList<>();
 		VmId self = this.membership.self().vm();
 		for (Member member : this.membership.eligible()) {
 			if (!member.vm().equals(self)) {
 				boolean alive = member.state() == Member.State.ALIVE && !isUnresponsive(member.vm());
-				(alive ? reachable : doubtful).add(member);
+				(alive ? reachable : suspects).add(member);
 			}
 		}
 		if (!selfLeaves && this.view.configured()) {
@@ -118,7 +118,7 @@
 		if (isDiscovering(reachable)) {
 			return List.of();
 		}
-		List<Member> usable = new ArrayList<>(reachable.isEmpty() ? doubtful : reachable);
+		List<Member> usable = new ArrayList<>(reachable.isEmpty() ? suspects : reachable);
 		if (usable.isEmpty()) {
 			this.membership.member(self).ifPresent(usable::add);
 		}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/CopyMessageCodecTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/CopyMessageCodecTests.java
@@ -15,45 +15,46 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Messages of copies, written and read by the codec of the peer protocol.
+ * Tests of the messages of {@link PeerCopies} with the codec of the peer protocol.
  */
 class CopyMessageCodecTests {
 
 	private static final String PEER = "peer";
 
 	static Stream<PeerMessage> messages() {
-		SendingTimes toOne = new SendingTimes(900, new Incarnation(new VmId("10.1.0.26"), 77), 800, 40);
-		SendingTimes toMany = new SendingTimes(900, null, 0, 0);
-		return Stream.of(toOne, toMany)
+		SendingTimes toPeer = new SendingTimes(900, new Incarnation(new VmId("10.1.0.26"), 77), 800, 40);
+		SendingTimes broadcast = new SendingTimes(900, null, 0, 0);
+		return Stream.of(toPeer, broadcast)
 			.flatMap((times) -> Stream.of(new CopiesHeld(List.of(new CopiesHeld.Held("config", 7, 9, 120)), times),
 					new CopiesTold("config", 7, 9, 120, 86_400_000, List.of(), times)));
 	}
 
 	@ParameterizedTest
 	@MethodSource("messages")
-	void arriveAsTheyWereSent(PeerMessage message) throws PeerProtocolException {
+	void messagesAreDecodedAsTheyWereEncoded(PeerMessage message) throws PeerProtocolException {
 		MessageCodec codec = codec(CopiesHeld.class, CopiesTold.class);
 		Truth.assertThat(codec.decode(PEER, codec.encode(message))).hasValue(message);
 	}
 
 	@Test
-	void fromAVersionThatTellsNoTimesAreRead() throws PeerProtocolException {
-		MessageCodec earlier = codec(HeldWithoutTimes.class, ToldWithoutTimes.class);
-		MessageCodec now = codec(CopiesHeld.class, CopiesTold.class);
-		Truth.assertThat(now.decode(PEER, earlier.encode(new HeldWithoutTimes(List.of()))))
+	void readsMessagesOfAVersionWithoutTimestamps() throws PeerProtocolException {
+		MessageCodec previous = codec(HeldWithoutTimes.class, ToldWithoutTimes.class);
+		MessageCodec current = codec(CopiesHeld.class, CopiesTold.class);
+		Truth.assertThat(current.decode(PEER, previous.encode(new HeldWithoutTimes(List.of()))))
 			.hasValue(new CopiesHeld(List.of(), null));
-		Truth.assertThat(now.decode(PEER, earlier.encode(new ToldWithoutTimes("config", 7, 9, 120, 5, List.of()))))
+		Truth.assertThat(current.decode(PEER, previous.encode(new ToldWithoutTimes("config", 7, 9, 120, 5, List.of()))))
 			.hasValue(new CopiesTold("config", 7, 9, 120, 5, List.of(), null));
 	}
 
 	@Test
-	void areReadByAVersionThatKnowsNoTimes() throws PeerProtocolException {
-		MessageCodec earlier = codec(HeldWithoutTimes.class, ToldWithoutTimes.class);
-		MessageCodec now = codec(CopiesHeld.class, CopiesTold.class);
+	void messagesAreReadByAVersionWithoutTimestamps() throws PeerProtocolException {
+		MessageCodec previous = codec(HeldWithoutTimes.class, ToldWithoutTimes.class);
+		MessageCodec current = codec(CopiesHeld.class, CopiesTold.class);
 		SendingTimes times = new SendingTimes(900, null, 0, 0);
-		Truth.assertThat(earlier.decode(PEER, now.encode(new CopiesHeld(List.of(), times))))
+		Truth.assertThat(previous.decode(PEER, current.encode(new CopiesHeld(List.of(), times))))
 			.hasValue(new HeldWithoutTimes(List.of()));
-		Truth.assertThat(earlier.decode(PEER, now.encode(new CopiesTold("config", 7, 9, 120, 5, List.of(), times))))
+		Truth
+			.assertThat(previous.decode(PEER, current.encode(new CopiesTold("config", 7, 9, 120, 5, List.of(), times))))
 			.hasValue(new ToldWithoutTimes("config", 7, 9, 120, 5, List.of()));
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FakeStore.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FakeStore.java
@@ -11,7 +11,7 @@
 import org.bramleyscale.internal.platform.WatchBatch;
 
 /**
- * A store whose answers a test gives one by one.
+ * A store whose answers a test completes one by one.
  */
 final class FakeStore implements PartialStore {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FollowFaultsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FollowFaultsTests.java
@@ -13,19 +13,19 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Plays drawn faults on a large fleet that follows one store: queues that grow and drain
- * at any daemon, daemons that the store turns away or leaves without an answer. Changes
- * come at drawn moments. Each must be in force in time on every daemon that could read
- * the store without a break since a while before it.
+ * Tests with random faults on a simulated large fleet that follows one store: queues that
+ * grow and drain at any daemon, and daemons whose calls the store refuses or doesn't
+ * answer. Changes are made at random times. Each must be in force in time on every daemon
+ * whose calls to the store have worked for {@link #CONTACT_TIME} before it.
  *
  * <p>
- * More seeds by hand: {@code -Dfollow.seeds=500}.
+ * To run more seeds: {@code -Dfollow.seeds=500}.
  */
 class FollowFaultsTests {
 
 	private static final Duration WITHIN = Duration.ofSeconds(3);
 
-	/** A daemon counts only if its calls to the store have worked for so long. */
+	/** A daemon counts only if its calls to the store have worked for this long. */
 	private static final Duration CONTACT_TIME = Duration.ofSeconds(4);
 
 	private static final int LEAVES = 24;
@@ -44,9 +44,10 @@
 
 	@ParameterizedTest
 	@MethodSource("seeds")
-	void aChangeIsInForceInTimeWhateverHappensElsewhere(long seed) {
-		// Symptom: a daemon that can read the store serves by an old document. Sequence:
-		// drawn. Cause: what the daemon hears from others keeps it from asking itself.
+	void changeIsInForceInTimeWhateverFaultsOtherDaemonsHave(long seed) {
+		// Symptom: a daemon that can read the store uses an outdated document. Sequence:
+		// random. Cause: messages of peers keep the daemon from querying the store
+		// itself.
 		Random random = new Random(seed);
 		this.fleet.topology(new RelayedTopology(LEAVES));
 		this.fleet.store().change("first");
@@ -80,18 +81,18 @@
 	}
 
 	private void change(String name, long seed) {
-		long inTouchSince = this.scheduler.nanos() - CONTACT_TIME.toNanos();
-		List<SimulatedFleet.Daemon> inTouch = this.fleet.daemons()
+		long contactSince = this.scheduler.nanos() - CONTACT_TIME.toNanos();
+		List<SimulatedFleet.Daemon> inContact = this.fleet.daemons()
 			.stream()
-			.filter((daemon) -> this.worksSince.get(daemon.rank()) <= inTouchSince)
+			.filter((daemon) -> this.worksSince.get(daemon.rank()) <= contactSince)
 			.toList();
 		this.fleet.store().change(name);
 		this.scheduler.advance(WITHIN);
-		List<Integer> unaware = inTouch.stream()
+		List<Integer> outdated = inContact.stream()
 			.filter((daemon) -> !daemon.knows(name))
 			.map(SimulatedFleet.Daemon::rank)
 			.toList();
-		Truth.assertWithMessage("seed " + seed + ", ranks without " + name).that(unaware).isEmpty();
+		Truth.assertWithMessage("seed " + seed + ", ranks without " + name).that(outdated).isEmpty();
 	}
 
 }
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FollowFleetTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FollowFleetTests.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Plays a fleet of daemons that follow one store: how soon a change is known everywhere,
- * and for how many calls.
+ * Tests of a simulated fleet of daemons that follow one store: how soon a change is known
+ * on all of them, and how many calls it costs.
  *
  * <p>
- * The daemons are in ranked order; all connect with all. A change must be in force within
- * {@link #WITHIN}.
+ * The daemons are in the order of their ranks and connected in a full mesh. A change must
+ * be in force within {@link #WITHIN}.
  */
 class FollowFleetTests {
 
@@ -37,10 +37,10 @@
 	}
 
 	@Test
-	void aQuietMinuteCostsFewCallsHoweverManyDaemonsThereAre() {
-		// Symptom: 21 calls a daemon and kind in 53 s in which nothing changed. Cause:
-		// every daemon watched, and each watch was short so that a silent connection was
-		// noticed.
+	void minuteWithoutChangesCostsFewCallsWhateverTheNumberOfDaemons() {
+		// Symptom: 21 calls per daemon and kind in 53 s without a change. Cause: every
+		// daemon watched, and each watch was short so that a silent connection was
+		// detected.
 		int before = this.fleet.store().calls();
 		this.scheduler.advance(Duration.ofMinutes(1));
 		FollowTimes times = FollowTimes.within(WITHIN);
@@ -50,7 +50,7 @@
 	}
 
 	@Test
-	void aChangeCostsACallOfEachWatcher() {
+	void changeCostsOneCallPerWatcher() {
 		this.scheduler.advance(Duration.ofMillis(10));
 		int before = this.fleet.store().calls();
 		this.fleet.store().change("second");
@@ -60,9 +60,9 @@
 	}
 
 	@Test
-	void aChangedDocumentGoesToEachDaemonOnce() {
+	void changedDocumentIsSentToEachDaemonOnce() {
 		// Symptom: the bytes between data centres double when the document grows. Cause:
-		// both watchers read it at the same moment, and each sent it to everybody.
+		// both watchers read it at the same moment, and each sent it to all others.
 		this.scheduler.advance(Duration.ofMillis(37));
 		int before = this.fleet.copiesSent();
 		this.fleet.store().change("second");
@@ -71,10 +71,10 @@
 	}
 
 	@Test
-	void theSecondChangeIsKnownAtOnceThoughNoWatcherHearsTheStore() {
-		// Symptom: each change takes a second, for as long as the watchers are turned
-		// away. Sequence: the store turns both watchers away; two changes. Cause: who
-		// only checks now and then is late each time.
+	void secondChangeIsKnownAtOnceThoughTheStoreRefusesTheWatchers() {
+		// Symptom: each change takes a second for as long as the watchers are refused.
+		// Sequence: the store refuses both watchers; two changes follow. Cause: a daemon
+		// that only checks periodically is late each time.
 		this.fleet.daemons().subList(0, 2).forEach((daemon) -> daemon.store().link(SimulatedStore.Link.REFUSED));
 		this.fleet.store().change("second");
 		this.scheduler.advance(WITHIN);
@@ -84,14 +84,14 @@
 	}
 
 	/**
-	 * Symptom: a daemon serves by a document that is no longer in force. Sequence:
-	 * something happens to one or more daemons, then the document changes. Cause: those
-	 * that followed the store don't tell, or don't hear it themselves.
+	 * Symptom: a daemon uses a document that is no longer in force. Sequence: a fault
+	 * affects one or more daemons, then the document changes. Cause: the watchers don't
+	 * push the change or don't receive it themselves.
 	 */
 	@ParameterizedTest
 	@EnumSource(Fault.class)
-	void aChangeIsKnownInTimeByAllThatCanHearOfIt(Fault trouble) {
-		trouble.inject(this.fleet.daemons());
+	void changeIsKnownInTimeOnAllConnectedDaemons(Fault fault) {
+		fault.inject(this.fleet.daemons());
 		this.fleet.store().change("second");
 		this.scheduler.advance(WITHIN);
 		for (SimulatedFleet.Daemon daemon : this.fleet.daemons()) {
@@ -102,10 +102,10 @@
 	}
 
 	@Test
-	void connectionsToTheStoreThatAllWentSilentAreNoticed() {
-		// Symptom: a key that was taken away is accepted for the rest of a watch.
-		// Sequence: every open connection to the store goes silent, new ones work; the
-		// document changes. Cause: no error is ever reported on them.
+	void silentConnectionsToTheStoreAreDetected() {
+		// Symptom: a revoked key is accepted for the rest of a watch. Sequence: every
+		// open connection to the store goes silent, while new ones work; the document
+		// changes. Cause: no error is ever reported on the silent connections.
 		this.fleet.store().silenceWatches();
 		this.fleet.store().change("second");
 		this.scheduler.advance(WITHIN);
@@ -113,12 +113,11 @@
 	}
 
 	@Test
-	void aDocumentThatIsTooLargeToBePassedOnIsReadFromTheStore() {
-		// Symptom: a document of many megabytes would be in force on the two daemons that
-		// watch and nowhere else. Sequence: it exceeds the longest frame, so no push and
-		// no
-		// answer to a question arrives. What prevents it: hearing that a peer knows more
-		// doesn't make news fresh, so each daemon asks the store itself.
+	void documentTooLargeForAMessageIsReadFromTheStore() {
+		// Symptom: a document of many megabytes would be in force on the two watchers
+		// only. Sequence: it exceeds the longest frame, so neither a push nor a reply to
+		// a digest arrives. What prevents it: a digest of a peer that knows more doesn't
+		// confirm the copies, so each daemon queries the store itself.
 		this.fleet.rejectCopies();
 		this.fleet.store().change("second");
 		this.scheduler.advance(WITHIN);
@@ -127,10 +126,10 @@
 
 	@ParameterizedTest
 	@CsvSource({ "REFUSED, 260", "SILENT, 110" })
-	void aStoreThatIsAwayIsAskedByFewAndIsBackForAllAtOnce(SimulatedStore.Link link, int most) {
-		// Symptom: hundreds of calls a second at a store that is away. Sequence: nobody
-		// hears the store for ten seconds; it comes back, changed. Cause: every daemon
-		// asks until it is answered.
+	void unavailableStoreGetsFewCallsAndIsReadByAllSoonAfterItReturns(SimulatedStore.Link link, int most) {
+		// Symptom: hundreds of calls a second to an unavailable store. Sequence: no
+		// daemon gets an answer of the store for ten seconds; the store returns with a
+		// change. Cause: every daemon retries until it gets an answer.
 		int before = this.fleet.store().calls();
 		this.fleet.daemons().forEach((daemon) -> daemon.store().link(link));
 		this.fleet.store().silenceWatches();
@@ -143,16 +142,16 @@
 	}
 
 	/**
-	 * Guards against endpoints that are kept though they are gone, since the store turned
-	 * one daemon away while it served all others.
+	 * Guards against endpoints that are kept although they have been removed, because the
+	 * store refused one daemon while it served all others.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "REFUSED, 0", "SILENT, 0", "REFUSED, 2", "SILENT, 7" })
-	void aStoreThatTurnsOneDaemonAwayWasNotAway(SimulatedStore.Link link, int rank) {
-		SimulatedFleet.Daemon turnedAway = this.fleet.daemons().get(rank);
-		turnedAway.store().link(link);
+	void storeThatRefusesOneDaemonHasNoOutage(SimulatedStore.Link link, int rank) {
+		SimulatedFleet.Daemon refused = this.fleet.daemons().get(rank);
+		refused.store().link(link);
 		this.scheduler.advance(Duration.ofSeconds(8));
-		turnedAway.store().link(SimulatedStore.Link.WORKS);
+		refused.store().link(SimulatedStore.Link.WORKS);
 		this.scheduler.advance(Duration.ofSeconds(1));
 		this.fleet.store().change("second");
 		this.scheduler.advance(Duration.ofMillis(500));
@@ -160,10 +159,13 @@
 			.forEach((daemon) -> Truth.assertThat(daemon.sinceOutage()).isGreaterThan(Duration.ofSeconds(9)));
 	}
 
-	/** Guards against entries that lapsed in an outage and count as gone for some. */
+	/**
+	 * Guards against entries that expired in an outage but count as removed on some
+	 * daemons.
+	 */
 	@ParameterizedTest
 	@CsvSource({ "REFUSED, 4000", "SILENT, 4000", "REFUSED, 13000", "SILENT, 13000" })
-	void allDaemonsKnowThatTheStoreWasAwayOnceTheyHearWhatChanged(SimulatedStore.Link link, long millis) {
+	void allDaemonsKnowOfTheOutageWhenTheyReceiveTheChange(SimulatedStore.Link link, long millis) {
 		this.fleet.daemons().forEach((daemon) -> daemon.store().link(link));
 		this.scheduler.advance(Duration.ofMillis(millis));
 		this.fleet.store().change("second");
@@ -176,7 +178,7 @@
 	}
 
 	@Test
-	void aDaemonThatStartsTakesCopiesFromItsPeers() {
+	void daemonThatStartsTakesCopiesFromItsPeers() {
 		int before = this.fleet.store().calls();
 		SimulatedFleet.Daemon late = this.fleet.startOneMore();
 		this.scheduler.advance(Duration.ofMillis(900));
@@ -186,7 +188,7 @@
 	}
 
 	/**
-	 * What happens before a change.
+	 * A fault that is injected before a change.
 	 */
 	private enum Fault {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/OutageFaultsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/OutageFaultsTests.java
@@ -16,13 +16,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Drawn outages of the store, at the end of which changes come quickly while daemons
- * stand still that followed it, or the store turns some away. Each change must be in
- * force in time on every daemon in touch: one that ran, and could call a store that
- * answers, for {@link #CONTACT_MARGIN} longer than a change may take.
+ * Tests with random outages of the store, after which changes follow quickly while some
+ * of the daemons that followed it are suspended, or the store refuses some. Each change
+ * must be in force in time on every daemon in contact: one that was running, and whose
+ * calls the store would have answered, for {@link #CONTACT_MARGIN} longer than a change
+ * may take.
  *
  * <p>
- * More seeds by hand: {@code -Doutage.seeds=2000}.
+ * To run more seeds: {@code -Doutage.seeds=2000}.
  */
 class OutageFaultsTests {
 
@@ -30,7 +31,7 @@
 
 	private static final Duration STEP = Duration.ofMillis(20);
 
-	/** Daemons stand still for little longer than a change may take. */
+	/** By how much daemons are suspended longer than a change may take, at the most. */
 	private static final Duration FROZEN = Duration.ofMillis(600);
 
 	private final ManualScheduler scheduler = new ManualScheduler();
@@ -43,29 +44,31 @@
 		return LongStream.rangeClosed(1, Integer.getInteger("outage.seeds", 60));
 	}
 
-	/** Guards against daemons that ask a store which is back too late. */
+	/**
+	 * Guards against daemons that query the store too late once it is available again.
+	 */
 	@ParameterizedTest
 	@MethodSource("seeds")
-	void changesAfterAnOutageAreInForceInTimeOnAllInTouch(long seed) {
+	void changesAfterAnOutageAreInForceInTimeOnAllInContact(long seed) {
 		Random random = new Random(seed);
 		boolean large = random.nextBoolean();
 		Duration within = Duration.ofSeconds(large ? 3 : 2);
 		start(random, large, within);
-		SimulatedStore.Link away = random.nextBoolean() ? SimulatedStore.Link.SILENT : SimulatedStore.Link.REFUSED;
-		this.fleet.daemons().forEach((daemon) -> daemon.store().link(away));
+		SimulatedStore.Link failure = random.nextBoolean() ? SimulatedStore.Link.SILENT : SimulatedStore.Link.REFUSED;
+		this.fleet.daemons().forEach((daemon) -> daemon.store().link(failure));
 		this.scheduler.advance(Duration.ofMillis(3_000 + random.nextInt(12_000)));
 		restoreStore(random);
-		long inTouch = this.scheduler.nanos() + within.plus(CONTACT_MARGIN).toNanos();
+		long contactDueAt = this.scheduler.nanos() + within.plus(CONTACT_MARGIN).toNanos();
 		List<Change> changes = new ArrayList<>();
-		int strikeAt = 1 + random.nextInt(3);
+		int freezeAt = 1 + random.nextInt(3);
 		for (int i = 1; i <= 4; i++) {
 			this.scheduler.advance(Duration.ofMillis(random.nextInt(900)));
-			if (i == strikeAt || random.nextInt(4) == 0) {
+			if (i == freezeAt || random.nextInt(4) == 0) {
 				freezeSome(random, within);
 			}
 			this.scheduler.advance(Duration.ofMillis(60));
 			this.fleet.store().change("change-" + i);
-			changes.add(new Change("change-" + i, Math.max(inTouch, this.scheduler.nanos() + within.toNanos())));
+			changes.add(new Change("change-" + i, Math.max(contactDueAt, this.scheduler.nanos() + within.toNanos())));
 		}
 		for (Change change : changes) {
 			while (this.scheduler.nanos() < change.dueAt) {
@@ -83,23 +86,23 @@
 
 	private void start(Random random, boolean large, Duration within) {
 		this.fleet = new SimulatedFleet(this.scheduler, within);
-		int near = 12 + random.nextInt(60);
+		int leaves = 12 + random.nextInt(60);
 		if (large) {
-			this.fleet.topology(new RelayedTopology(near));
+			this.fleet.topology(new RelayedTopology(leaves));
 		}
 		this.fleet.store().change("first");
-		this.fleet.start(large ? RelayedTopology.RELAYS + near : 3 + random.nextInt(20));
+		this.fleet.start(large ? RelayedTopology.RELAYS + leaves : 3 + random.nextInt(20));
 		this.scheduler.advance(Duration.ofMillis(8_000 + random.nextInt(6_000)));
 	}
 
 	/**
-	 * Has the store answer again, at times not all daemons.
-	 * @param random draws
+	 * Makes the store answer again, in some runs not to all daemons.
+	 * @param random the random generator
 	 */
 	private void restoreStore(Random random) {
-		double turnedAway = random.nextBoolean() ? 0.35 * random.nextDouble() : 0;
+		double refusedShare = random.nextBoolean() ? 0.35 * random.nextDouble() : 0;
 		for (SimulatedFleet.Daemon daemon : this.fleet.daemons()) {
-			if (random.nextDouble() < turnedAway) {
+			if (random.nextDouble() < refusedShare) {
 				this.excluded.add(daemon);
 			}
 			else {
@@ -109,9 +112,9 @@
 	}
 
 	/**
-	 * Has some daemons stand still: those that read the store last, the first in the
-	 * order, or any.
-	 * @param random draws
+	 * Suspends some daemons: those that read the store last, the first in the order, or
+	 * any.
+	 * @param random the random generator
 	 * @param within how long a change may take
 	 */
 	private void freezeSome(Random random, Duration within) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/PeerCopiesTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/PeerCopiesTests.java
@@ -51,10 +51,10 @@
 	}
 
 	@Test
-	void aDaemonThatTheStoreTurnsAwayLearnsChangesFromItsPeers() {
-		// Symptom: a key that was taken away is still served by one daemon. Sequence: the
-		// store turns that daemon away, then the operator's document changes. Cause: the
-		// store alone would tell.
+	void daemonThatTheStoreRefusesReceivesChangesFromItsPeers() {
+		// Symptom: one daemon still accepts a key that was revoked. Sequence: the store
+		// refuses the calls of that daemon, then the operator's document changes. Cause:
+		// the daemon would learn of the change from the store only.
 		this.outdated.applyList(batch(10, "a", "b"));
 		this.changes.clear();
 		this.current.applyChanges(new WatchBatch(12, false, List.of(FakeStore.object("c", 11)), List.of("a")));
@@ -64,14 +64,14 @@
 	}
 
 	@Test
-	void aDaemonThatStartsWithoutTheStoreGetsEverything() {
+	void daemonThatStartsWithoutTheStoreReceivesAllCopies() {
 		this.scheduler.advance(PeerCopies.DIGEST_INTERVAL.multipliedBy(2));
 		Truth.assertThat(this.changes).containsExactly("+a", "+b");
 		Truth.assertThat(this.outdated.complete()).isEqualTo(10);
 	}
 
 	@Test
-	void nothingIsSentBetweenDaemonsThatKnowTheSame() {
+	void noCopiesAreSentBetweenDaemonsThatHaveTheSame() {
 		this.scheduler.advance(PeerCopies.DIGEST_INTERVAL.multipliedBy(2));
 		this.left.sent.clear();
 		this.right.sent.clear();
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/QueuedUpdatesTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/QueuedUpdatesTests.java
@@ -11,12 +11,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Plays a large fleet whose relays' messages wait for seconds before they leave.
+ * Tests of a simulated large fleet whose relays' messages queue for seconds before they
+ * are sent.
  *
  * <p>
- * Two relays of one data centre watch the store; two relays of another pass on what they
- * tell to the daemons there, which know each other and their relays. The store answers
- * everybody. A change must be in force within {@link #WITHIN}.
+ * Two relays of one data centre watch the store; two relays of another forward their
+ * updates to the daemons there, which are connected to their relays and to some of each
+ * other. The store answers all daemons. A change must be in force within {@link #WITHIN}.
  */
 class QueuedUpdatesTests {
 
@@ -24,7 +25,7 @@
 
 	private static final int LEAVES = 24;
 
-	/** Each comes at another moment between the daemons' checks. */
+	/** The number of changes, each at another phase of the periodic checks. */
 	private static final int CHANGES = 20;
 
 	private final ManualScheduler scheduler = new ManualScheduler();
@@ -41,30 +42,30 @@
 
 	@ParameterizedTest
 	@CsvSource({
-			// ms that wait: what the watching relays send, what the passing ones send
+			// queueing delay in ms: of the watching relays, of the forwarding relays
 			"4000, 0", "0, 4000", "8000, 0", "0, 8000", "2000, 2000", "1600, 1600" })
-	void aChangeIsInForceInTimeThoughNewsQueue(int watching, int passing) {
+	void changeIsInForceInTimeThoughUpdatesQueue(int watcherDelay, int forwarderDelay) {
 		// Symptom: a route is unknown three seconds after the store confirmed it, on
-		// daemons that could have asked the store at any time. Sequence: a relay's queue
-		// grows to some seconds and stays there; the document changes a few times; the
-		// daemons behind that relay go
-		// on hearing, seconds late, that nothing is new. Cause: what a peer said of the
-		// age of its news counted from the arrival of the message, at each hop, so news
-		// that had waited for seconds looked fresh and nobody asked the store. Evidence:
-		// the daemons of a whole data centre made no call between the change and the end
-		// of the queue; with the time waited in the age they ask and have the change.
-		queueGrowsTo(Duration.ofMillis(watching), Duration.ofMillis(passing));
+		// daemons that could have queried the store at any time. Sequence: a relay's
+		// queue grows to some seconds and stays there; the document changes a few times;
+		// the daemons behind that relay keep receiving, seconds late, confirmations that
+		// nothing is new. Cause: the age that a peer stated was counted from the arrival
+		// of the message, at each hop, so copies that had queued for seconds looked fresh
+		// and no daemon queried the store. Evidence: the daemons of a whole data centre
+		// made no call between the change and the end of the queue; with the queueing
+		// delay added to the age they query the store and get the change.
+		growQueues(Duration.ofMillis(watcherDelay), Duration.ofMillis(forwarderDelay));
 		Random phases = new Random(1);
 		for (int change = 1; change <= CHANGES; change++) {
 			String name = "change-" + change;
 			this.fleet.store().change(name);
 			this.scheduler.advance(WITHIN);
-			Truth.assertWithMessage("ranks without " + name).that(ranksWithout(name)).isEmpty();
+			Truth.assertWithMessage("ranks without " + name).that(outdatedRanks(name)).isEmpty();
 			this.scheduler.advance(Duration.ofMillis(phases.nextInt(5_000)));
 		}
 	}
 
-	private List<Integer> ranksWithout(String name) {
+	private List<Integer> outdatedRanks(String name) {
 		return this.fleet.daemons()
 			.stream()
 			.filter((daemon) -> !daemon.knows(name))
@@ -72,11 +73,11 @@
 			.toList();
 	}
 
-	private void queueGrowsTo(Duration watching, Duration passing) {
+	private void growQueues(Duration watcherDelay, Duration forwarderDelay) {
 		int steps = 80;
 		for (int step = 1; step <= steps; step++) {
 			for (int rank = 0; rank < RelayedTopology.RELAYS; rank++) {
-				Duration most = (rank < 2) ? watching : passing;
+				Duration most = (rank < 2) ? watcherDelay : forwarderDelay;
 				this.fleet.daemons().get(rank).queueDelay(most.multipliedBy(step).dividedBy(steps));
 			}
 			this.scheduler.advance(Duration.ofMillis(250));
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/RelayedTopology.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/RelayedTopology.java
@@ -4,16 +4,16 @@
 import java.util.Set;
 
 /**
- * A large fleet of two data centres. Ranks 0 and 1 relay for the data centre of the
- * watchers, 2 and 3 for the other one, in which all others are; these know their relays
- * and four of each other.
+ * A large fleet in two data centres. Ranks 0 and 1 are the relays of the watchers' data
+ * centre, 2 and 3 those of the other one, which has all other daemons; these are
+ * connected to their relays and to four of each other.
  *
  * <p>
  * Immutable.
  */
 final class RelayedTopology implements SimulatedFleet.Topology {
 
-	/** The relays of both data centres, which have the first ranks. */
+	/** The number of relays in both data centres, which have the first ranks. */
 	static final int RELAYS = 4;
 
 	private static final Set<Integer> WATCHING = Set.of(0, 1);
@@ -23,37 +23,37 @@
 	private final int leaves;
 
 	/**
-	 * Makes the topology.
-	 * @param near the daemons that aren't relays
+	 * Creates the topology.
+	 * @param leaves the number of daemons that aren't relays
 	 */
-	RelayedTopology(int near) {
-		this.leaves = near;
+	RelayedTopology(int leaves) {
+		this.leaves = leaves;
 	}
 
 	@Override
 	public Set<Integer> connected(int rank) {
 		if (rank >= RELAYS) {
-			int place = rank - RELAYS;
-			Set<Integer> known = new HashSet<>(FORWARDING);
+			int index = rank - RELAYS;
+			Set<Integer> connected = new HashSet<>(FORWARDING);
 			for (int step : new int[] { 1, 5, this.leaves - 5, this.leaves - 1 }) {
-				known.add(RELAYS + (place + step) % this.leaves);
+				connected.add(RELAYS + (index + step) % this.leaves);
 			}
-			return known;
+			return connected;
 		}
 		return firstHand(rank);
 	}
 
 	@Override
 	public Set<Integer> firstHand(int rank) {
-		Set<Integer> told = new HashSet<>(FORWARDING);
+		Set<Integer> recipients = new HashSet<>(FORWARDING);
 		if (rank < RELAYS) {
-			told.addAll(WATCHING);
+			recipients.addAll(WATCHING);
 		}
 		if (FORWARDING.contains(rank)) {
-			told.addAll(leaves());
+			recipients.addAll(leaves());
 		}
-		told.remove(rank);
-		return told;
+		recipients.remove(rank);
+		return recipients;
 	}
 
 	@Override
@@ -61,12 +61,12 @@
 		if (!FORWARDING.contains(rank)) {
 			return Set.of();
 		}
-		Set<Integer> told = leaves();
+		Set<Integer> recipients = leaves();
 		if (from >= RELAYS) {
-			told.addAll(WATCHING);
+			recipients.addAll(WATCHING);
 		}
-		told.remove(from);
-		return told;
+		recipients.remove(from);
+		return recipients;
 	}
 
 	private Set<Integer> leaves() {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedFleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedFleet.java
@@ -21,16 +21,20 @@
 import org.bramleyscale.internal.time.PausableScheduler;
 
 /**
- * A fleet of daemons that follow one store, on a manual clock.
+ * A simulated fleet of daemons that follow one store, on a manual clock.
  *
  * <p>
- * Each daemon is a real follower with a real exchange of copies; the store and the
- * connections are played. The daemons are in ranked order. Messages between two daemons
- * arrive in the order of sending. Confined to the test's thread.
+ * Each daemon has a real follower and a real exchange of copies; the store and the
+ * connections are simulated. The daemons are in the order of their ranks. Messages
+ * between two daemons arrive in the order in which they were sent. Confined to the test's
+ * thread.
  */
 final class SimulatedFleet {
 
-	/** Daemons don't start in step; if they did, their rounds would meet for ever. */
+	/**
+	 * The delay between the starts of daemons. Without it all rounds of digests would
+	 * coincide for the whole test.
+	 */
 	private static final Duration START_GAP = Duration.ofMillis(17);
 
 	private final ManualScheduler scheduler;
@@ -48,7 +52,7 @@
 	private boolean tooLarge;
 
 	/**
-	 * Makes a fleet without daemons.
+	 * Creates a fleet without daemons.
 	 * @param scheduler the clock of the store and of all daemons
 	 * @param within the time within which a change must be in force
 	 */
@@ -60,7 +64,7 @@
 
 	/**
 	 * Starts daemons one after the other.
-	 * @param count how many
+	 * @param count the number of daemons
 	 */
 	void start(int count) {
 		for (int i = 0; i < count; i++) {
@@ -96,20 +100,20 @@
 	}
 
 	/**
-	 * Messages with copies in them.
-	 * @return how many daemons sent to each other since the start
+	 * The number of messages with copies.
+	 * @return how many the daemons have sent to each other since the start
 	 */
 	int copiesSent() {
 		return this.copiesSent;
 	}
 
-	/** From now on objects are too large to be sent from daemon to daemon. */
+	/** Makes objects too large to be sent between daemons from now on. */
 	void rejectCopies() {
 		this.tooLarge = true;
 	}
 
 	/**
-	 * Who is connected with whom, and who passes on what.
+	 * The connections between daemons and the routes of updates.
 	 */
 	interface Topology {
 
@@ -121,14 +125,14 @@
 		Set<Integer> connected(int rank);
 
 		/**
-		 * Whom a daemon tells what it read from the store.
+		 * The recipients of what a daemon read from the store.
 		 * @param rank its rank
 		 * @return their ranks
 		 */
 		Set<Integer> firstHand(int rank);
 
 		/**
-		 * Whom a daemon tells what a peer told.
+		 * The peers to which a daemon forwards an update of a peer.
 		 * @param rank its rank
 		 * @param from the peer's rank
 		 * @return their ranks
@@ -138,7 +142,7 @@
 	}
 
 	/**
-	 * All daemons are connected with all, as in a small fleet.
+	 * A full mesh, as in a small fleet.
 	 */
 	private final class FullMesh implements Topology {
 
@@ -164,11 +168,11 @@
 	}
 
 	/**
-	 * One daemon, with its end of the connections with its peers.
+	 * One daemon and its side of the connections to its peers.
 	 */
 	final class Daemon implements PeerNetwork, NewsRoutes, FollowOrder {
 
-		/** What a message between two daemons takes on a link that isn't busy. */
+		/** The transmission time of a message between two daemons on an idle link. */
 		private static final Duration LINK_DELAY = Duration.ofMillis(1);
 
 		private final int rank;
@@ -188,7 +192,7 @@
 
 		private final StoreFollower follower;
 
-		private boolean peers = true;
+		private boolean connectedToPeers = true;
 
 		private Duration queueDelay = Duration.ZERO;
 
@@ -217,22 +221,22 @@
 		}
 
 		/**
-		 * For how long the store hasn't been away, by the daemon's own calls and what
-		 * peers say.
+		 * The time since the last outage of the store, by the daemon's own calls and the
+		 * reports of its peers.
 		 * @return the time
 		 */
 		Duration sinceOutage() {
 			Duration own = this.follower.sinceOutage();
-			Duration heard = this.exchange.sinceOutage();
-			return (own.compareTo(heard) < 0) ? own : heard;
+			Duration reported = this.exchange.sinceOutage();
+			return (own.compareTo(reported) < 0) ? own : reported;
 		}
 
 		boolean connectedToPeers() {
-			return this.peers;
+			return this.connectedToPeers;
 		}
 
 		/**
-		 * Has the daemon's process stand still.
+		 * Suspends the daemon's process.
 		 * @param span for how long
 		 */
 		void freeze(Duration span) {
@@ -247,19 +251,19 @@
 			}
 		}
 
-		/** Ends the daemon's connections with its peers. */
+		/** Closes the daemon's connections to its peers. */
 		void disconnectPeers() {
-			this.peers = false;
+			this.connectedToPeers = false;
 		}
 
-		/** Ends all that the daemon hears, without an error. */
+		/** Cuts the daemon off from its peers and the store, without an error. */
 		void isolate() {
 			disconnectPeers();
 			this.store.link(SimulatedStore.Link.SILENT);
 		}
 
 		/**
-		 * Sets how long what the daemon sends from now on waits before it travels.
+		 * Sets the queueing delay of the daemon's messages from now on.
 		 * @param time the time in queues
 		 */
 		void queueDelay(Duration time) {
@@ -281,7 +285,7 @@
 			long now = SimulatedFleet.this.scheduler.nanos();
 			this.arrivesAt = Math.max(this.arrivesAt, now + this.queueDelay.plus(LINK_DELAY).toNanos());
 			for (Daemon other : SimulatedFleet.this.daemons) {
-				if (other.self.vm().equals(to) && this.peers && other.peers) {
+				if (other.self.vm().equals(to) && this.connectedToPeers && other.connectedToPeers) {
 					SimulatedFleet.this.scheduler.schedule(Duration.ofNanos(this.arrivesAt - now),
 							() -> other.clock.execute(() -> other.received(this, message)));
 				}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedStore.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedStore.java
@@ -17,15 +17,15 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * A store on a manual clock that many daemons follow, each by an access of its own that
- * can be taken away. Confined to the test's thread.
+ * A simulated store on a manual clock. Each daemon follows it through an access of its
+ * own, for which calls can be made to fail. Confined to the test's thread.
  */
 final class SimulatedStore {
 
-	/** The kind of all objects here. */
+	/** The kind of all objects. */
 	static final String KIND = "servers";
 
-	/** The time limit of a call beyond what it asks the store to wait. */
+	/** The time-out of a call beyond the time that it asks the store to wait. */
 	private static final Duration CALL_OVERRUN = Duration.ofMillis(1_200);
 
 	private static final Duration REFUSAL = Duration.ofMillis(4);
@@ -45,7 +45,7 @@
 	}
 
 	/**
-	 * Calls to the store.
+	 * The number of calls to the store.
 	 * @return how many were made since the start
 	 */
 	int calls() {
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * Writes an object, which answers the watches that wait.
+	 * Writes an object, which completes the pending watches.
 	 * @param name the object's name
 	 */
 	void change(String name) {
@@ -65,7 +65,7 @@
 		answered.forEach((call) -> call.answer(new WatchBatch(this.revision, false, List.of(object))));
 	}
 
-	/** Makes every connection on which a watch waits silent. */
+	/** Makes the connection of every pending watch silent. */
 	void silenceWatches() {
 		this.waiting.forEach((call) -> call.silent = true);
 	}
@@ -82,7 +82,7 @@
 	}
 
 	/**
-	 * What becomes of a daemon's calls to the store.
+	 * The outcome of a daemon's calls to the store.
 	 */
 	enum Link {
 
@@ -106,15 +106,15 @@
 		private int calls;
 
 		/**
-		 * Makes a daemon's access.
-		 * @param process runs what follows from an answer
+		 * Creates a daemon's access.
+		 * @param process runs the callbacks of calls
 		 */
 		Access(Scheduler process) {
 			this.process = process;
 		}
 
 		/**
-		 * When the daemon last took an answer.
+		 * The time at which the daemon last received an answer.
 		 * @return the time, by the scheduler
 		 */
 		long answeredAt() {
@@ -126,8 +126,8 @@
 		}
 
 		/**
-		 * Changes what becomes of calls, the one under way included.
-		 * @param newLink what becomes of them
+		 * Changes the outcome of calls, including the pending one.
+		 * @param newLink the new outcome
 		 */
 		void link(Link newLink) {
 			this.link = newLink;
@@ -175,16 +175,16 @@
 		}
 
 		private CompletableFuture<WatchBatch> deliver(CompletableFuture<WatchBatch> call) {
-			CompletableFuture<WatchBatch> heard = new CompletableFuture<>();
+			CompletableFuture<WatchBatch> delivered = new CompletableFuture<>();
 			call.whenComplete((batch, failure) -> this.process.execute(() -> {
 				if (failure != null) {
-					heard.completeExceptionally(failure);
+					delivered.completeExceptionally(failure);
 					return;
 				}
 				this.answeredAt = SimulatedStore.this.scheduler.nanos();
-				heard.complete(batch);
+				delivered.complete(batch);
 			}));
-			return heard;
+			return delivered;
 		}
 
 		private void count() {
@@ -195,7 +195,7 @@
 	}
 
 	/**
-	 * A watch that the store holds.
+	 * A pending watch.
 	 */
 	private final class PendingWatch {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SlowLinkTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SlowLinkTests.java
@@ -32,8 +32,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A relay on a link of 14 Mbit/s, thirty daemons that know the document only from it, and
- * sums of the work at 72 endpoints five times a second.
+ * Tests of a relay on a link of 14 Mbit/s with thirty daemons that receive the document
+ * only from it, while it sends sums of the load of 72 endpoints five times a second.
  */
 class SlowLinkTests {
 
@@ -43,7 +43,7 @@
 
 	private static final long CONGESTED_BYTES = 16 * 1024;
 
-	/** A version must be in force everywhere by then. */
+	/** The time within which a version must be in force on all daemons. */
 	private static final Duration IN_FORCE = Duration.ofSeconds(3);
 
 	private static final String KIND = "config";
@@ -62,11 +62,11 @@
 	@CsvSource({
 			// routes, versions, ms between them
 			"270, 1, 1000", "270, 25, 80", "270, 12, 330", "1400, 12, 330", "1400, 25, 80", "2040, 2, 1730" })
-	void eachVersionIsInForceInTimeThoughTheLinkIsSlow(int routes, int versions, int pause) {
-		// Symptom: a key that was taken away still works three seconds later, and a route
-		// that was added is unknown. Sequence: versions come in quick succession; the
-		// relay sends each of them whole to each daemon, and its sums besides. Cause:
-		// every version queues behind all that came before it.
+	void eachVersionIsInForceInTimeOnASlowLink(int routes, int versions, int pause) {
+		// Symptom: a revoked key still works after three seconds, and a new route is
+		// unknown. Sequence: versions follow in quick succession; the relay sends each of
+		// them in full to each daemon, in addition to its sums. Cause: every version
+		// queues behind all earlier ones.
 		for (int i = 0; i < DAEMONS; i++) {
 			Daemon daemon = new Daemon("vm-" + (10 + i));
 			this.daemons.put(daemon.self.vm(), daemon);
@@ -92,7 +92,8 @@
 	}
 
 	/**
-	 * Sends sums as {@link LoadExchange} does, to whom the connection keeps up with.
+	 * Sends sums as {@link LoadExchange} does, to the daemons whose connections aren't
+	 * congested.
 	 */
 	private void sendSums() {
 		List<LoadTold.Share> shares = new ArrayList<>();
@@ -126,7 +127,7 @@
 	}
 
 	/**
-	 * A daemon whose connections share one link, which sends in the order of queueing.
+	 * A daemon whose connections share one link that transmits in the order of sending.
 	 * Used by one thread.
 	 */
 	private final class Daemon implements PeerNetwork, NewsRoutes {
@@ -144,7 +145,7 @@
 
 		private final PeerCopies copies;
 
-		private double freeAt;
+		private double idleAt;
 
 		private Daemon(String name) {
 			this.self = new Incarnation(new VmId(name), 1);
@@ -162,10 +163,10 @@
 			Daemon other = to.equals(SlowLinkTests.this.relay.self.vm()) ? SlowLinkTests.this.relay
 					: SlowLinkTests.this.daemons.get(to);
 			double now = SlowLinkTests.this.scheduler.nanos() / 1e6;
-			this.freeAt = Math.max(now, this.freeAt) + payload.length / LINK_BYTES_PER_MILLI;
+			this.idleAt = Math.max(now, this.idleAt) + payload.length / LINK_BYTES_PER_MILLI;
 			this.queued.merge(to, (long) payload.length, Long::sum);
 			PeerListener<PeerMessage> listener = (PeerListener<PeerMessage>) other.listeners.get(message.getClass());
-			SlowLinkTests.this.scheduler.schedule(Duration.ofNanos((long) ((this.freeAt - now) * 1e6)), () -> {
+			SlowLinkTests.this.scheduler.schedule(Duration.ofNanos((long) ((this.idleAt - now) * 1e6)), () -> {
 				this.queued.merge(to, (long) -payload.length, Long::sum);
 				listener.received(this.self, message);
 			});
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/StoreFollowerTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/StoreFollowerTests.java
@@ -37,7 +37,7 @@
 
 	private boolean isolated;
 
-	private long askedAt;
+	private long startedAt;
 
 	private final List<Long> updates = new ArrayList<>();
 
@@ -63,16 +63,16 @@
 		this.store.cachedLists.poll()
 			.complete(new WatchBatch(10, false, List.of(FakeStore.object("a", 3), FakeStore.object("b", 5))));
 		this.scheduler.advance(StoreFollower.PEER_WAIT);
-		this.askedAt = this.scheduler.nanos();
+		this.startedAt = this.scheduler.nanos();
 		this.scheduler.advance(StoreFollower.TICK);
 	}
 
 	@Test
 	void watchesFromTheNewestObjectOfACachedList() {
-		// Symptom: a daemon serves by a document that was replaced seconds before its
-		// start, until the next one. Sequence: the list is seconds old, its revision is
-		// that of now; the daemon watches from there. Cause: what changed between is in
-		// neither.
+		// Symptom: a daemon uses a document that was replaced seconds before its start,
+		// until the next change. Sequence: the cached list is seconds old, but its
+		// revision is the current one; the daemon watches from there. Cause: what changed
+		// in between is in neither the list nor the watch.
 		Truth.assertThat(this.changes).containsExactly("+a3", "+b5");
 		Truth.assertThat(this.store.watchedFrom).isEqualTo(5);
 		this.store.watches.poll().complete(new WatchBatch(10, false, List.of(FakeStore.object("a", 9)), List.of("b")));
@@ -80,7 +80,7 @@
 	}
 
 	@Test
-	void watchesOnFromWhatAWatchBrought() {
+	void continuesToWatchFromTheRevisionOfTheLastResult() {
 		Truth.assertThat(this.changes).containsExactly("+a3", "+b5");
 		this.store.watches.poll().complete(new WatchBatch(12, false, List.of(FakeStore.object("c", 11)), List.of("a")));
 		Truth.assertThat(this.changes).containsExactly("+a3", "+b5", "+c11", "-a12").inOrder();
@@ -89,10 +89,10 @@
 	}
 
 	@Test
-	void aWatcherGathersChangesBeforeItAsksAgain() {
-		// Symptom: ten times the calls that the watches' length explains. Sequence: 72
-		// endpoints register one after the other, 76 daemons watch. Cause: each change
-		// answers the watches, and all ask anew at once.
+	void watcherCoalescesChangesBeforeItsNextCall() {
+		// Symptom: ten times the calls that the length of watches explains. Sequence: 72
+		// endpoints register one after the other while 76 daemons watch. Cause: each
+		// change completes all watches, and all daemons call again at once.
 		this.store.watches.poll().complete(new WatchBatch(12, false, List.of(FakeStore.object("c", 11))));
 		this.scheduler.advance(TIMES.coalesce().minusMillis(1));
 		Truth.assertThat(this.store.watches).isEmpty();
@@ -103,30 +103,31 @@
 	}
 
 	@Test
-	void tellsWhereItsNewsBegin() {
+	void reportsTheRevisionFromWhichItsUpdateIsComplete() {
 		this.store.watches.poll().complete(new WatchBatch(12, false, List.of(FakeStore.object("c", 11))));
 		Truth.assertThat(this.updates).containsExactly(5L);
-		Truth.assertThat(this.copies.confirmedAt()).isEqualTo(this.askedAt);
+		Truth.assertThat(this.copies.confirmedAt()).isEqualTo(this.startedAt);
 	}
 
 	/**
-	 * Guards against news that look fresh because a daemon stood still before it read
-	 * them.
+	 * Guards against copies that look fresh because the daemon was suspended before it
+	 * read them.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "false, 5000, 9000", "true, 0, 9000", "false, 3000, 3000" })
-	void newsAreAsOldAsTheStoresAnswerMayBe(boolean changed, long confirmedMillis, long readMillis) {
+	void copiesAreConfirmedNoLaterThanTheStoreCanHaveAnswered(boolean changed, long confirmedMillis, long readMillis) {
 		CompletableFuture<WatchBatch> watch = this.store.watches.poll();
 		this.scheduler.advance(Duration.ofMillis(readMillis).minus(StoreFollower.TICK));
 		watch.complete(new WatchBatch(12, false, changed ? List.of(FakeStore.object("c", 11)) : List.of()));
-		Truth.assertThat(this.copies.confirmedAt() - this.askedAt).isEqualTo(confirmedMillis * 1_000_000);
+		Truth.assertThat(this.copies.confirmedAt() - this.startedAt).isEqualTo(confirmedMillis * 1_000_000);
 	}
 
 	/**
-	 * Guards against a watcher that a silent store swallows for the length of a watch.
+	 * Guards against a watcher whose call blocks for the length of a watch because the
+	 * store doesn't answer.
 	 */
 	@Test
-	void aWatcherAsksShortlyUntilTheStoreAnswersAgain() {
+	void watcherMakesShortCallsUntilTheStoreAnswersAgain() {
 		this.store.watches.poll()
 			.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "silent"));
 		this.scheduler.advance(StoreFollower.MIN_BACKOFF.multipliedBy(2));
@@ -136,10 +137,10 @@
 	}
 
 	@Test
-	void aWatchThatPeersOvertookIsGivenUp() {
-		// Symptom: a daemon stays behind for the length of a watch. Sequence: the store's
-		// connection goes silent, the store changes, a peer tells of it. Cause: the
-		// silent connection never reports an error.
+	void watchIsAbandonedIfCopiesOfPeersAreNewer() {
+		// Symptom: a daemon's copies are outdated for the length of a watch. Sequence:
+		// the connection to the store goes silent, the store changes, a peer sends the
+		// change. Cause: the silent connection never reports an error.
 		Truth.assertThat(this.store.watches).hasSize(1);
 		this.copies.applyFromPeer(5, 12, List.of(new FollowedObject("c", 12, new byte[1])));
 		this.scheduler.advance(StoreFollower.STALLED_AFTER.plus(StoreFollower.TICK.multipliedBy(2)));
@@ -148,7 +149,7 @@
 	}
 
 	@Test
-	void aStoppedFollowerBeginsNoOtherWatch() {
+	void stoppedFollowerStartsNoOtherWatch() {
 		this.store.watches.poll().complete(new WatchBatch(12, false, List.of(FakeStore.object("c", 11))));
 		this.follower.stop();
 		this.scheduler.advance(TIMES.watch().multipliedBy(2));
@@ -156,10 +157,10 @@
 	}
 
 	@Test
-	void listsAnewWhenHistoryIsLostAndNoticesWhatWasDeletedMeanwhile() {
-		// Symptom: an endpoint that left long ago still gets requests. Sequence: the
-		// store
-		// drops its history, an entry is deleted in the gap. Cause: no event tells of it.
+	void listsAgainWhenHistoryIsLostAndDetectsDeletions() {
+		// Symptom: an endpoint that left long ago still receives requests. Sequence: the
+		// store drops its history, and an entry is deleted in the gap. Cause: no event
+		// reports the deletion.
 		this.store.watches.poll().complete(new WatchBatch(10, true, List.of()));
 		this.store.lists.poll().complete(new WatchBatch(20, false, List.of(FakeStore.object("b", 5))));
 		Truth.assertThat(this.changes).containsExactly("+a3", "+b5", "-a20").inOrder();
@@ -167,18 +168,17 @@
 	}
 
 	@Test
-	void anOlderListChangesNothing() {
-		// Symptom: a deleted entry appears again. Sequence: a peer tells changes up to
-		// 30,
-		// then a list asked for before arrives. Cause: lists and peers overtake each
-		// other.
+	void olderListChangesNothing() {
+		// Symptom: a deleted entry appears again. Sequence: a peer sends the changes up
+		// to revision 30, then a list requested earlier arrives. Cause: lists and
+		// messages of peers overtake each other.
 		this.copies.applyFromPeer(5, 30, List.of(new FollowedObject("a", 30, null)));
 		this.copies.applyList(new WatchBatch(20, false, List.of(FakeStore.object("a", 3))));
 		Truth.assertThat(this.changes).containsExactly("+a3", "+b5", "-a30").inOrder();
 	}
 
 	@Test
-	void triesAgainSoonAfterAFailureAndRemembersIt() {
+	void retriesSoonAfterAFailureAndRecordsItsTime() {
 		Truth.assertThat(this.follower.sinceFailure()).isGreaterThan(Duration.ofSeconds(3));
 		this.store.watches.poll()
 			.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "busy"));
@@ -193,13 +193,13 @@
 	}
 
 	/**
-	 * Guards against entries that lapsed in an outage and count as gone, since the last
-	 * failed call is too long ago.
+	 * Guards against entries that expired in an outage but count as removed, because the
+	 * last failed call is too long ago.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "0", "30" })
-	void anOutageLastsUntilTheStoreAnswers(int place) {
-		this.rank = place;
+	void outageLastsUntilTheStoreAnswers(int initialRank) {
+		this.rank = initialRank;
 		for (int i = 0; i < 4; i++) {
 			this.store.watches.poll()
 				.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "busy"));
@@ -214,7 +214,7 @@
 	}
 
 	@Test
-	void aSingleCallThatIsCutOffIsNoOutage() {
+	void singleFailedCallIsNoOutage() {
 		this.store.watches.poll()
 			.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "cut off"));
 		Truth.assertThat(this.follower.sinceOutage()).isGreaterThan(Duration.ofSeconds(3));
@@ -226,21 +226,21 @@
 
 	@ParameterizedTest
 	@CsvSource({ "0, 12, 40", "30, 1, 5" })
-	void onlyWatchersAskOftenWhileTheStoreIsAway(int place, int least, int most) {
-		// Symptom: hundreds of refused calls a second while the store is away. Sequence:
-		// the store turns all daemons away for ten seconds. Cause: each asks as often as
-		// one that all others depend on.
-		this.rank = place;
-		int asked = 0;
-		for (Duration spent = Duration.ZERO; spent.toSeconds() < 10; spent = spent.plus(StoreFollower.TICK)) {
+	void onlyWatchersRetryOftenWhileTheStoreIsUnavailable(int initialRank, int least, int most) {
+		// Symptom: hundreds of refused calls a second while the store is unavailable.
+		// Sequence: the store refuses all daemons for ten seconds. Cause: each daemon
+		// retries as often as a watcher, on which all others depend.
+		this.rank = initialRank;
+		int calls = 0;
+		for (Duration elapsed = Duration.ZERO; elapsed.toSeconds() < 10; elapsed = elapsed.plus(StoreFollower.TICK)) {
 			while (!this.store.watches.isEmpty()) {
-				asked++;
+				calls++;
 				this.store.watches.poll()
 					.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "busy"));
 			}
 			this.scheduler.advance(StoreFollower.TICK);
 		}
-		Truth.assertThat(asked).isIn(Range.closed(least, most));
+		Truth.assertThat(calls).isIn(Range.closed(least, most));
 	}
 
 }
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/BackendEntriesTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/BackendEntriesTests.java
@@ -47,10 +47,10 @@
 	private long revision;
 
 	@Test
-	void aNewStartKnowsNothingOfTheOneBefore() {
-		// Symptom: an engine that is idle gets nothing for seconds. Sequence: it crashes
-		// with requests on it and starts again under its id. Cause: its failures and the
-		// work sent to it were remembered by its id.
+	void stateOfAnEarlierStartIsDiscarded() {
+		// Symptom: an idle engine gets no requests for seconds. Sequence: it crashes with
+		// active requests and starts again under the same id. Cause: its failures and its
+		// load were recorded by id.
 		put("a", "1000");
 		EndpointStart first = this.backends.usable(SERVICE).get(0).start();
 		this.loads.begin(first, 500, 10_000, true, 250);
@@ -64,7 +64,7 @@
 	}
 
 	@Test
-	void aLateOutcomeOfAnEarlierStartDoesNotCountForTheNext() {
+	void lateOutcomeOfAnEarlierStartIsIgnored() {
 		put("a", "1000");
 		EndpointStart first = this.backends.usable(SERVICE).get(0).start();
 		put("a", "2000");
@@ -76,11 +76,10 @@
 
 	@ParameterizedTest
 	@ValueSource(strings = { "", "x", "{}" })
-	void anEntryThatCannotBeReadNamesNoEndpointAndTheOthersHold(String text) {
-		// Symptom: requests go to an endpoint that has left. Sequence: an entry that
-		// could
-		// be read is overwritten by something else. Cause: the last readable copy went on
-		// counting.
+	void unreadableEntryProvidesNoEndpointAndTheOthersStay(String text) {
+		// Symptom: requests are sent to an endpoint that has left. Sequence: a readable
+		// entry is overwritten with other content. Cause: the last readable copy remained
+		// in use.
 		put("a", "1000");
 		put("b", "1000");
 		put("a", text);
@@ -90,7 +89,7 @@
 	}
 
 	@Test
-	void saysOnceWhyAnEntryCannotBeRead() {
+	void logsOnceWhyAnEntryCannotBeRead() {
 		for (int i = 0; i < 100; i++) {
 			put("a", "x" + i);
 		}
@@ -99,7 +98,7 @@
 	}
 
 	@Test
-	void anEntryThatWasNeverReadableIsDeletedWithoutHarm() {
+	void deletionOfAnEntryThatWasNeverReadableHasNoEffect() {
 		put("a", "x");
 		this.entries.changed(new FollowedObject("a", ++this.revision, null));
 		Truth.assertThat(ids()).isEmpty();
@@ -114,7 +113,7 @@
 	}
 
 	/**
-	 * Reads an entry that is a number.
+	 * Reads entries whose text is a number.
 	 */
 	private static final class NumberDocuments implements Documents {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/DaemonRecordTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/DaemonRecordTests.java
@@ -15,25 +15,24 @@
 
 	@ParameterizedTest
 	@CsvSource({ "1000, 5000, 5000", "5000, 2600, 5001", "5000, 5000, 5001" })
-	void startsAreNumberedUpwardsThoughTheTimeOfDayStepsBack(long before, long wallMillis, long start) {
+	void startNumbersIncreaseThoughTheTimeOfDayStepsBack(long previous, long wallMillis, long start) {
 		// Symptom: peers ignore a daemon for minutes. Sequence: the time of day steps
-		// back by
-		// 2.4 s and the daemon is killed and started again. Cause: its number is smaller
-		// than
-		// before, so what it says looks like a message from the past.
-		DaemonRecord record = new DaemonRecord("10.0.0.1", "east", "10.0.0.1:1", "10.0.0.1:2", false, before,
+		// back by 2.4 s and the daemon is killed and started again. Cause: its start
+		// number is smaller than before, so its messages look like those of an earlier
+		// start.
+		DaemonRecord record = new DaemonRecord("10.0.0.1", "east", "10.0.0.1:1", "10.0.0.1:2", false, previous,
 				VmCapacity.UNKNOWN);
 		Truth.assertThat(record.startAfter(wallMillis)).isEqualTo(start);
 	}
 
 	@Test
-	void aRecordWithoutASizeIsOfUnknownSize() throws Exception {
+	void recordWithoutCapacityHasUnknownCapacity() throws Exception {
 		byte[] json = "{\"vm\":\"10.0.0.1\",\"dataCentre\":\"east\",\"start\":3}".getBytes(StandardCharsets.UTF_8);
 		Truth.assertThat(DaemonRecord.read(json).capacity()).isEqualTo(VmCapacity.UNKNOWN);
 	}
 
 	@Test
-	void readsWhatItWrote() throws Exception {
+	void readsTheRecordThatItWrote() throws Exception {
 		DaemonRecord record = new DaemonRecord("10.0.0.1", "east", "10.0.0.1:1", "10.0.0.1:2", true, 7,
 				new VmCapacity(360, 14));
 		Truth.assertThat(DaemonRecord.read(record.write())).isEqualTo(record);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/EntryListTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/EntryListTests.java
@@ -40,12 +40,10 @@
 			DecisionLog.NONE);
 
 	@Test
-	void aDaemonWhoseConnectionWasLostIsNotNamed() {
-		// Symptom: callers lose one of their two tries. Sequence: a daemon is killed,
-		// callers
-		// ask another one for addresses. Cause: membership is sure of its death only
-		// after
-		// seconds.
+	void omitsDaemonsWhoseConnectionWasLost() {
+		// Symptom: callers lose one of their two tries. Sequence: a daemon is killed, and
+		// callers query another one for addresses. Cause: membership declares it dead
+		// only after seconds.
 		this.fleet.connected.addAll(List.of(vm("b"), vm("c")));
 		this.entries.observe();
 		Truth.assertThat(this.entries.addresses(false)).containsExactly("a:80", "b:80", "c:80");
@@ -56,10 +54,10 @@
 	}
 
 	@Test
-	void aDaemonThatIsNotHeardIsNotNamed() {
+	void omitsUnresponsiveDaemons() {
 		// Symptom: callers wait a second at a daemon that doesn't answer. Sequence: its
-		// VM freezes or loses power; connections to it stay open. Cause: they show it
-		// after three seconds only.
+		// VM freezes or loses power; connections to it stay open. Cause: they fail only
+		// after three seconds.
 		this.fleet.connected.addAll(List.of(vm("b"), vm("c")));
 		this.entries.observe();
 		this.view.unresponsive.add(vm("c"));
@@ -68,61 +66,62 @@
 
 	@ParameterizedTest
 	@CsvSource({
-			// ms since the start, informed, others met, others listed, names
+			// ms since the start, configured, others discovered, others listed, addresses
 			"100, true, true, true, a:80 b:80 c:80", "100, false, true, true, b:80 c:80", "100, true, false, true, ''",
 			"100, false, false, true, ''", "100, true, false, false, a:80", "1000, true, false, true, a:80",
 			"1000, false, true, true, b:80 c:80" })
-	void aDaemonThatHasJustStartedDoesNotCallCallersToItself(long millis, boolean informed, boolean met, boolean listed,
-			String named) {
-		// Symptom: callers wait for seconds at small VMs while large ones are back.
-		// Sequence: all power is lost; a small VM's daemon starts last; who asks it first
-		// is named only it. Cause: it doesn't know the others yet, nor the endpoints.
-		if (!met) {
+	void daemonThatHasJustStartedDoesNotAttractCallers(long millis, boolean configured, boolean discovered,
+			boolean listed, String expected) {
+		// Symptom: callers wait for seconds at small VMs although large ones are
+		// available again. Sequence: all power is lost; a small VM's daemon starts last;
+		// callers that query it first get only its own address. Cause: it knows neither
+		// the other daemons nor the endpoints yet.
+		if (!discovered) {
 			this.fleet.members.removeIf((member) -> !member.vm().equals(vm("a")));
 		}
-		this.view.configured = informed;
+		this.view.configured = configured;
 		this.view.largestListed = OptionalInt.of(listed ? 0 : FleetView.NO_OTHER_VM);
 		this.scheduler.advance(Duration.ofMillis(millis));
-		Truth.assertThat(String.join(" ", new TreeSet<>(this.entries.addresses(false)))).isEqualTo(named);
+		Truth.assertThat(String.join(" ", new TreeSet<>(this.entries.addresses(false)))).isEqualTo(expected);
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "100, ''", "1000, a:80 b:80 c:80" })
-	void aDaemonThatHasNotReadTheListYetNamesNobodyForAMoment(long millis, String named) {
+	void returnsNoAddressAtFirstWhileTheListOfVmsIsUnread(long millis, String expected) {
 		// Symptom: callers wait a second for an answer about addresses. Sequence: a small
-		// VM's daemon starts; before it has read the list of VMs it takes itself for the
-		// only one, opens its port and names itself. Cause: a list that wasn't read was
-		// taken for an empty one.
+		// VM's daemon starts; before it has read the list of VMs it assumes that it is
+		// the only one, opens its port and returns its own address. Cause: a list that
+		// hadn't been read was treated as an empty one.
 		this.view.largestListed = OptionalInt.empty();
 		this.scheduler.advance(Duration.ofMillis(millis));
-		Truth.assertThat(String.join(" ", new TreeSet<>(this.entries.addresses(false)))).isEqualTo(named);
+		Truth.assertThat(String.join(" ", new TreeSet<>(this.entries.addresses(false)))).isEqualTo(expected);
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "500, 11, ''", "1500, 11, ''", "2000, 11, a:80 b:80 c:80", "500, 0, a:80 b:80 c:80" })
-	void smallDaemonsThatHaveMetOnlyEachOtherNameNobody(long millis, int largestListed, String named) {
-		// Symptom: half of the callers are served by small VMs for three seconds though
+	void smallDaemonsThatHaveDiscoveredOnlyEachOtherReturnNoAddress(long millis, int largestListed, String expected) {
+		// Symptom: half of the callers are served by small VMs for three seconds although
 		// large ones are idle. Sequence: all power is lost; the small VMs' daemons start
-		// last and meet each other before they meet the large ones. Cause: they named
-		// whomever they had met.
+		// last and discover each other before they discover the large ones. Cause: they
+		// returned all daemons that they had discovered.
 		this.view.largestListed = OptionalInt.of(largestListed);
 		this.scheduler.advance(Duration.ofMillis(millis));
-		Truth.assertThat(String.join(" ", new TreeSet<>(this.entries.addresses(false)))).isEqualTo(named);
+		Truth.assertThat(String.join(" ", new TreeSet<>(this.entries.addresses(false)))).isEqualTo(expected);
 	}
 
 	@Test
-	void aDaemonThatLeavesNamesTheOthers() {
+	void leavingDaemonReturnsTheOthers() {
 		Truth.assertThat(this.entries.addresses(true)).containsExactly("b:80", "c:80");
 	}
 
 	@Test
-	void theLastDaemonNamesItselfThoughItLeaves() {
+	void lastDaemonReturnsItselfThoughItLeaves() {
 		this.fleet.members.removeIf((member) -> !member.vm().equals(vm("a")));
 		Truth.assertThat(this.entries.addresses(true)).containsExactly("a:80");
 	}
 
 	@Test
-	void namesLostDaemonsOnlyIfNobodyElseIsLeft() {
+	void returnsDisconnectedDaemonsOnlyIfNoOtherIsLeft() {
 		this.fleet.connected.addAll(List.of(vm("b"), vm("c")));
 		this.entries.observe();
 		this.fleet.connected.clear();
@@ -135,7 +134,7 @@
 	}
 
 	/**
-	 * A daemon that has been there for long, unless a test says otherwise.
+	 * A daemon that started long ago, unless a test says otherwise.
 	 */
 	private static final class FakeView implements FleetView {
 
@@ -173,7 +172,7 @@
 	}
 
 	/**
-	 * Three daemons, of which the first is this one.
+	 * Three daemons, the first of which is the local one.
 	 */
 	private static final class Fleet implements MembershipView, PeerNetwork {
 
@@ -215,7 +214,7 @@
 
 		@Override
 		public void onChange(Runnable listener) {
-			// Nothing changes but by the test.
+			// Changes are made by the test only.
 		}
 
 		@Override
@@ -230,7 +229,7 @@
 
 		@Override
 		public <M extends PeerMessage> void listen(Class<M> type, PeerListener<M> listener) {
-			// Nothing is said.
+			// No message is delivered.
 		}
 
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/LeaveSequenceTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/LeaveSequenceTests.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests of {@link LeaveSequence} with addresses kept for one second and eight of grace.
+ * Tests of {@link LeaveSequence} with addresses kept for one second and a grace period of
+ * eight.
  */
 class LeaveSequenceTests implements LeaveSequence.Actions {
 
@@ -35,7 +36,7 @@
 
 	@ParameterizedTest
 	@CsvSource({ "0, 3000, 0", "0, 3300, 1", "1, 7200, 0", "1, 7500, 1" })
-	void endsWhenNobodyNeedsItAndBeforeItWouldBeKilled(int unfinished, long millis, int ended) {
+	void endsOnceIdleAndBeforeItWouldBeKilled(int unfinished, long millis, int ended) {
 		this.unfinished = unfinished;
 		this.leave.begin();
 		this.scheduler.advance(Duration.ofMillis(millis));
@@ -45,19 +46,19 @@
 	@ParameterizedTest
 	@CsvSource({ "2900, 10000, true", "3100, 10000, false", "3100, 4100, true", "6000, 1000, true",
 			"6000, 1400, false" })
-	void takesLateOnlyWhatEndsBeforeItself(long millis, long timeLeft, boolean taken) {
-		// Symptom: an answer is cut in the middle. Sequence: a caller with an open
-		// connection sends a stream six seconds after the stop began; the process ends
-		// 1.4 s later. Cause: requests were taken to the last moment.
+	void acceptsLateOnlyRequestsThatEndBeforeTheProcess(long millis, long timeLeft, boolean accepted) {
+		// Symptom: an answer is cut off in the middle. Sequence: a caller with an open
+		// connection sends a streaming request six seconds after the stop began; the
+		// process exits 1.4 s later. Cause: requests were accepted until the last moment.
 		Truth.assertThat(this.leave.accepts(Duration.ofMillis(timeLeft))).isTrue();
 		this.unfinished = 1;
 		this.leave.begin();
 		this.scheduler.advance(Duration.ofMillis(millis));
-		Truth.assertThat(this.leave.accepts(Duration.ofMillis(timeLeft))).isEqualTo(taken);
+		Truth.assertThat(this.leave.accepts(Duration.ofMillis(timeLeft))).isEqualTo(accepted);
 	}
 
 	@Test
-	void saysSoOnceAndEndsOnce() {
+	void announcesOnceAndEndsOnce() {
 		this.leave.begin();
 		this.leave.begin();
 		this.scheduler.advance(Duration.ofSeconds(30));
