--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/EntrySelection.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/EntrySelection.java
@@ -47,8 +47,8 @@
 	/**
 	 * The capacity required, as a multiple of the current load. A burst brings 2.5 times
 	 * the load within a second, sooner than callers query addresses again. With 5 instead
-	 * of 3, three VMs of half a core counted as too few for the sixty requests that are
-	 * sent again at once after a loss of power; fifteen of 0.12 of a core that had just
+	 * of 3, three VMs of half a core counted as too few for the sixty requests that
+	 * arrive at once after a loss of power; fifteen of 0.12 of a core that had just
 	 * started were selected in addition, and took five of six callers.
 	 */
 	static final int HEADROOM = 3;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FirstAddresses.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FirstAddresses.java
@@ -24,7 +24,9 @@
  */
 public final class FirstAddresses {
 
-	/** The interval between checks; short prompts have 300 ms for their whole path. */
+	/**
+	 * The interval between checks; short prompts have a total latency budget of 300 ms.
+	 */
 	private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
 	private final Scheduler scheduler;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewayNode.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewayNode.java
@@ -329,7 +329,7 @@
 	 * @param documents reads the platform's documents
 	 * @param dialect reads and writes headers
 	 * @param orders sends orders to engines
-	 * @param log takes decisions
+	 * @param log the decision log
 	 * @param metrics the registry of metrics
 	 */
 	public record Parts(NettyLoop loop, ObjectStore store, Documents documents, WireDialect dialect,
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedFleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedFleet.java
@@ -276,7 +276,7 @@
 
 		@Override
 		public boolean send(VmId to, PeerMessage message) {
-			if (message instanceof CopiesTold told && !told.objects().isEmpty()) {
+			if (message instanceof CopiesTold update && !update.objects().isEmpty()) {
 				if (SimulatedFleet.this.tooLarge) {
 					return false;
 				}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedStore.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedStore.java
@@ -34,7 +34,7 @@
 
 	private final Map<String, StoredObject> stored = new TreeMap<>();
 
-	private final List<PendingWatch> waiting = new ArrayList<>();
+	private final List<PendingWatch> pendingWatches = new ArrayList<>();
 
 	private long revision = 1;
 
@@ -60,14 +60,14 @@
 		this.revision++;
 		StoredObject object = new StoredObject(new ObjectKey(KIND, name), this.revision, new byte[1]);
 		this.stored.put(name, object);
-		List<PendingWatch> answered = this.waiting.stream().filter((call) -> !call.silent).toList();
-		this.waiting.removeAll(answered);
+		List<PendingWatch> answered = this.pendingWatches.stream().filter((call) -> !call.silent).toList();
+		this.pendingWatches.removeAll(answered);
 		answered.forEach((call) -> call.answer(new WatchBatch(this.revision, false, List.of(object))));
 	}
 
 	/** Makes the connection of every pending watch silent. */
 	void silenceWatches() {
-		this.waiting.forEach((call) -> call.silent = true);
+		this.pendingWatches.forEach((call) -> call.silent = true);
 	}
 
 	private CompletableFuture<WatchBatch> failing(Duration after) {
@@ -131,7 +131,7 @@
 		 */
 		void link(Link newLink) {
 			this.link = newLink;
-			SimulatedStore.this.waiting.stream()
+			SimulatedStore.this.pendingWatches.stream()
 				.filter((call) -> call.call == this.watch)
 				.forEach((call) -> call.silent = true);
 		}
@@ -166,7 +166,7 @@
 				return CompletableFuture.completedFuture(new WatchBatch(SimulatedStore.this.revision, false, changed));
 			}
 			CompletableFuture<WatchBatch> call = new CompletableFuture<>();
-			SimulatedStore.this.waiting.add(new PendingWatch(call, wait));
+			SimulatedStore.this.pendingWatches.add(new PendingWatch(call, wait));
 			return call;
 		}
 
@@ -213,7 +213,7 @@
 
 		private void expire() {
 			if (!this.silent) {
-				SimulatedStore.this.waiting.remove(this);
+				SimulatedStore.this.pendingWatches.remove(this);
 				this.call.complete(new WatchBatch(SimulatedStore.this.revision, false, List.of()));
 			}
 		}
