--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/AnswerServer.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/AnswerServer.java
@@ -27,36 +27,37 @@
 import io.netty.handler.timeout.ReadTimeoutHandler;
 
 /**
- * Answers small questions about this daemon: its addresses, its readiness, its state.
+ * An HTTP server for small requests about this daemon: its addresses, its readiness, its
+ * state.
  *
  * <p>
- * {@link #listen} blocks and must not be called on the loop's thread; answers are given
- * there.
+ * {@link #listen} blocks and must not be called on the loop's thread; the handler is
+ * called there.
  */
 public final class AnswerServer {
 
-	private static final int LARGEST_QUESTION = 65_536;
+	private static final int MAX_REQUEST_BYTES = 65_536;
 
 	private static final int IDLE_SECONDS = 30;
 
 	private final NettyLoop loop;
 
-	private final Function<Question, Reply> answers;
+	private final Function<Question, Reply> handler;
 
 	/**
-	 * Makes a server.
+	 * Creates a server.
 	 * @param loop the daemon's loop
-	 * @param answers gives the answer to a question
+	 * @param handler returns the response to a request
 	 */
-	public AnswerServer(NettyLoop loop, Function<Question, Reply> answers) {
+	public AnswerServer(NettyLoop loop, Function<Question, Reply> handler) {
 		this.loop = loop;
-		this.answers = answers;
+		this.handler = handler;
 	}
 
 	/**
-	 * Begins to listen.
+	 * Starts to listen.
 	 * @param address the address
-	 * @throws IOException if it can't be bound
+	 * @throws IOException if the address can't be bound
 	 */
 	public void listen(InetSocketAddress address) throws IOException {
 		ChannelFuture bound = new ServerBootstrap().group(this.loop.group())
@@ -70,8 +71,8 @@
 					channel.pipeline()
 						.addLast(new ReadTimeoutHandler(IDLE_SECONDS))
 						.addLast(new HttpServerCodec())
-						.addLast(new HttpObjectAggregator(LARGEST_QUESTION))
-						.addLast(new Answerer());
+						.addLast(new HttpObjectAggregator(MAX_REQUEST_BYTES))
+						.addLast(new RequestHandler());
 				}
 
 			})
@@ -83,7 +84,7 @@
 	}
 
 	/**
-	 * A question.
+	 * A request.
 	 *
 	 * @param method the method
 	 * @param path the path
@@ -92,9 +93,9 @@
 	public record Question(String method, String path, QueryStringDecoder query) {
 
 		/**
-		 * A value of the query.
+		 * Returns a query parameter.
 		 * @param name its name
-		 * @return the first value, or an empty text
+		 * @return its first value, or an empty string
 		 */
 		public String value(String name) {
 			return this.query.parameters().getOrDefault(name, java.util.List.of("")).get(0);
@@ -103,7 +104,7 @@
 	}
 
 	/**
-	 * An answer.
+	 * A response.
 	 *
 	 * @param status the status
 	 * @param type the media type
@@ -111,30 +112,30 @@
 	 */
 	public record Reply(int status, String type, byte[] body) {
 
-		/** There is nothing at the path. */
+		/** The response for a path that doesn't exist. */
 		public static final Reply NOT_FOUND = new Reply(404, "text/plain", new byte[0]);
 
 	}
 
 	/**
-	 * Answers on one connection.
+	 * Handles the requests of one connection.
 	 */
-	private final class Answerer extends SimpleChannelInboundHandler<FullHttpRequest> {
+	private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
 		@Override
 		protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
 			QueryStringDecoder query = new QueryStringDecoder(request.uri());
-			Reply reply = AnswerServer.this.answers.apply(new Question(request.method().name(), query.path(), query));
+			Reply reply = AnswerServer.this.handler.apply(new Question(request.method().name(), query.path(), query));
 			FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
 					HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
 			response.headers().set(HttpHeaderNames.CONTENT_TYPE, reply.type());
 			HttpUtil.setContentLength(response, reply.body().length);
-			boolean keep = HttpUtil.isKeepAlive(request);
-			if (!keep) {
+			boolean keepAlive = HttpUtil.isKeepAlive(request);
+			if (!keepAlive) {
 				response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
 			}
 			ChannelFuture written = context.writeAndFlush(response);
-			if (!keep) {
+			if (!keepAlive) {
 				written.addListener(ChannelFutureListener.CLOSE);
 			}
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendCall.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendCall.java
@@ -16,10 +16,10 @@
 import org.bramleyscale.internal.gateway.request.OutgoingRequest;
 
 /**
- * One request on its way to an endpoint and its answer on the way back.
+ * One request to an endpoint and the response to it.
  *
  * <p>
- * Invariant: after {@link #cancel} or the last word its listener hears nothing more.
+ * Invariant: the listener isn't called after {@link #cancel} or after its last call.
  * Confined to the loop's thread.
  */
 final class BackendCall implements BackendClient.BackendExchange {
@@ -32,9 +32,9 @@
 
 	private final BackendListener listener;
 
-	private boolean over;
+	private boolean finished;
 
-	private ChannelFuture connecting;
+	private ChannelFuture connectFuture;
 
 	private BackendChannel channel;
 
@@ -47,39 +47,39 @@
 
 	@Override
 	public void cancel() {
-		if (this.over) {
+		if (this.finished) {
 			return;
 		}
-		this.over = true;
+		this.finished = true;
 		if (this.channel != null) {
 			this.channel.close();
 		}
-		else if (this.connecting != null) {
-			this.connecting.cancel(false);
-			this.connecting.channel().close();
+		else if (this.connectFuture != null) {
+			this.connectFuture.cancel(false);
+			this.connectFuture.channel().close();
 		}
 	}
 
 	@Override
 	public void reading(boolean on) {
-		if (this.channel != null && !this.over) {
-			this.channel.reading(on);
+		if (this.channel != null && !this.finished) {
+			this.channel.setReading(on);
 		}
 	}
 
-	void connecting(ChannelFuture future) {
-		this.connecting = future;
+	void connectFuture(ChannelFuture future) {
+		this.connectFuture = future;
 	}
 
-	boolean over() {
-		return this.over;
+	boolean finished() {
+		return this.finished;
 	}
 
-	void on(BackendChannel channel) {
+	void assignChannel(BackendChannel channel) {
 		this.channel = channel;
 	}
 
-	FullHttpRequest message() {
+	FullHttpRequest toHttpRequest() {
 		CallerRequest original = this.request.original();
 		FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
 				HttpMethod.valueOf(original.method()), original.target(), Unpooled.wrappedBuffer(original.body()));
@@ -94,33 +94,33 @@
 		return HttpMethod.HEAD.name().equals(this.request.original().method());
 	}
 
-	boolean belongs(HttpResponse answer) {
-		return this.dialect.belongs(answer, this.request.original());
+	boolean matches(HttpResponse response) {
+		return this.dialect.belongs(response, this.request.original());
 	}
 
-	void head(HttpResponse answer) {
-		if (!this.over) {
-			BackendHead head = this.dialect.answer(answer);
+	void head(HttpResponse response) {
+		if (!this.finished) {
+			BackendHead head = this.dialect.answer(response);
 			this.listener.head(head);
 		}
 	}
 
 	void data(byte[] data) {
-		if (!this.over) {
+		if (!this.finished) {
 			this.listener.data(data);
 		}
 	}
 
 	void complete() {
-		if (!this.over) {
-			this.over = true;
+		if (!this.finished) {
+			this.finished = true;
 			this.listener.complete();
 		}
 	}
 
 	void failed(boolean sent, String cause) {
-		if (!this.over) {
-			this.over = true;
+		if (!this.finished) {
+			this.finished = true;
 			this.listener.failed(sent, cause);
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendChannel.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendChannel.java
@@ -17,10 +17,11 @@
  * One connection to an endpoint.
  *
  * <p>
- * Endpoints may answer a request twice, or so late that the answer stands where the next
- * one's should. An answer to another request is dropped and the right one awaited, and
- * the connection isn't kept. An answer without a length ends with its connection, and
- * only an orderly end makes it whole. Confined to the loop's thread.
+ * Endpoints may respond to a request twice, or so late that the response arrives in place
+ * of the next one. A response to another request is dropped, the right one is awaited,
+ * and the connection isn't reused. A response without a length ends with its connection,
+ * and is complete only if the connection is closed in an orderly way. Confined to the
+ * loop's thread.
  */
 final class BackendChannel extends SimpleChannelInboundHandler<HttpObject> {
 
@@ -36,13 +37,13 @@
 
 	private BackendCall call;
 
-	private boolean answering;
+	private boolean inResponse;
 
-	private boolean foreign;
+	private boolean unmatched;
 
 	private boolean interim;
 
-	private boolean keep = true;
+	private boolean reusable = true;
 
 	private String failure;
 
@@ -53,8 +54,8 @@
 	}
 
 	void begin(BackendCall call) {
-		if (call.over()) {
-			giveBack();
+		if (call.finished()) {
+			release();
 			return;
 		}
 		if (!this.channel.isActive()) {
@@ -62,21 +63,21 @@
 			return;
 		}
 		this.call = call;
-		call.on(this);
-		this.channel.writeAndFlush(call.message()).addListener((done) -> {
-			if (!done.isSuccess()) {
-				fail("write: " + done.cause().getMessage());
+		call.assignChannel(this);
+		this.channel.writeAndFlush(call.toHttpRequest()).addListener((future) -> {
+			if (!future.isSuccess()) {
+				failCall("write: " + future.cause().getMessage());
 				this.channel.close();
 			}
 		});
 	}
 
-	boolean usable() {
-		return this.keep && this.call == null && this.channel.isActive();
+	boolean isReusable() {
+		return this.reusable && this.call == null && this.channel.isActive();
 	}
 
 	void close() {
-		this.keep = false;
+		this.reusable = false;
 		this.channel.close();
 	}
 
@@ -86,14 +87,14 @@
 		}
 	}
 
-	void reading(boolean on) {
+	void setReading(boolean on) {
 		this.channel.config().setAutoRead(on);
 	}
 
 	@Override
 	protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
 		if (message.decoderResult().isFailure()) {
-			this.failure = "not an answer in the protocol: " + message.decoderResult().cause().getMessage();
+			this.failure = "malformed response: " + message.decoderResult().cause().getMessage();
 			close();
 			return;
 		}
@@ -101,14 +102,14 @@
 			begin(head);
 		}
 		if (message instanceof HttpContent content) {
-			pass(content);
+			forward(content);
 		}
 	}
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
 		if (!(cause instanceof IOException)) {
-			logger.warnf(cause, "The connection to endpoint %s failed", this.endpoint);
+			logger.warnf(cause, "Connection to endpoint %s failed", this.endpoint);
 		}
 		this.failure = cause.toString();
 		close();
@@ -116,9 +117,9 @@
 
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
-		this.keep = false;
-		this.connections.gone(this.endpoint, this);
-		fail((this.failure != null) ? this.failure : "connection closed by the endpoint");
+		this.reusable = false;
+		this.connections.remove(this.endpoint, this);
+		failCall((this.failure != null) ? this.failure : "connection closed by the endpoint");
 	}
 
 	private void begin(HttpResponse head) {
@@ -126,26 +127,27 @@
 		if (this.interim) {
 			return;
 		}
-		this.foreign = this.call == null || !this.call.belongs(head);
-		if (this.foreign) {
-			// Nobody asked for it; whatever follows can't be trusted beyond this call.
-			this.keep = false;
+		this.unmatched = this.call == null || !this.call.matches(head);
+		if (this.unmatched) {
+			// An unsolicited response: whatever follows it can't be trusted beyond this
+			// call.
+			this.reusable = false;
 			if (this.call == null) {
 				close();
 			}
 			return;
 		}
-		this.answering = true;
-		this.keep = this.keep && HttpUtil.isKeepAlive(head);
+		this.inResponse = true;
+		this.reusable = this.reusable && HttpUtil.isKeepAlive(head);
 		this.call.head(head);
 	}
 
-	private void pass(HttpContent content) {
-		if (this.interim || this.foreign || this.call == null || !this.answering) {
+	private void forward(HttpContent content) {
+		if (this.interim || this.unmatched || this.call == null || !this.inResponse) {
 			return;
 		}
 		if (this.failure != null) {
-			// A reset also ends an answer without a length, but not as complete.
+			// A reset also ends a response without a length, but doesn't complete it.
 			return;
 		}
 		int length = content.content().readableBytes();
@@ -155,29 +157,29 @@
 			this.call.data(data);
 		}
 		if (content instanceof LastHttpContent && this.call != null) {
-			BackendCall ended = this.call;
+			BackendCall endedCall = this.call;
 			this.call = null;
-			this.answering = false;
-			ended.complete();
-			giveBack();
+			this.inResponse = false;
+			endedCall.complete();
+			release();
 		}
 	}
 
-	private void giveBack() {
-		if (usable()) {
+	private void release() {
+		if (isReusable()) {
 			this.channel.config().setAutoRead(true);
-			this.connections.keep(this.endpoint, this);
+			this.connections.release(this.endpoint, this);
 		}
 		else {
 			close();
 		}
 	}
 
-	private void fail(String cause) {
+	private void failCall(String cause) {
 		if (this.call != null) {
-			BackendCall failed = this.call;
+			BackendCall failedCall = this.call;
 			this.call = null;
-			failed.failed(true, cause);
+			failedCall.failed(true, cause);
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendConnections.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendConnections.java
@@ -25,47 +25,51 @@
 import org.bramleyscale.internal.gateway.request.OutgoingRequest;
 
 /**
- * Connections to endpoints, one request at a time on each.
+ * A pool of connections to endpoints, with one request at a time on each.
  *
  * <p>
- * Invariants: a request that may run at most once gets a connection that nobody has used,
- * since a kept one that turns out dead can't tell whether the bytes arrived; a connection
- * on which anything unexpected was read is never used again; a connection to an earlier
- * start of an endpoint isn't used for the next one, which would only reset it. Confined
- * to the loop's thread.
+ * Invariants: a request that may run at most once gets a new connection, since on a
+ * reused one that turns out to be dead it is unknown whether the bytes arrived; a
+ * connection on which anything unexpected was read is never reused; a connection to an
+ * earlier start of an endpoint isn't used for a later one, which would only reset it.
+ * Confined to the loop's thread.
  */
 public final class BackendConnections implements BackendClient, EndpointCheck {
 
 	/**
-	 * How long a connection may take to be made. Endpoints are at most 2 ms away and
-	 * accept in 1 ms; one that needs longer is gone or full, and nothing has been sent
-	 * yet, so another endpoint can have the request.
+	 * How long connecting may take. Endpoints are at most 2 ms away and accept in 1 ms;
+	 * one that takes longer is down or overloaded. Nothing has been sent at that point,
+	 * so another endpoint can serve the request.
 	 */
 	static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
 
-	/** How long bytes may stay unacknowledged before the connection counts as dead. */
-	static final Duration UNACKNOWLEDGED = Duration.ofMillis(1_500);
+	/**
+	 * How long sent bytes may remain unacknowledged before the connection counts as dead.
+	 */
+	static final Duration UNACKNOWLEDGED_TIMEOUT = Duration.ofMillis(1_500);
 
 	/**
-	 * How long a connection is kept without a request. Something between the two ends may
-	 * lose track of it; the shorter it idles, the rarer a request meets that.
+	 * How long an idle connection is kept. A device between the two ends may drop its
+	 * state of the connection; the shorter the idle time, the rarer a request is
+	 * affected.
 	 */
-	static final Duration KEPT_IDLE = Duration.ofMillis(1_500);
+	static final Duration IDLE_TIMEOUT = Duration.ofMillis(1_500);
 
-	private static final int PROBE_SECONDS = 1;
+	private static final int KEEPALIVE_PROBE_SECONDS = 1;
 
-	private static final int PROBES = 2;
+	private static final int MAX_KEEPALIVE_PROBES = 2;
 
-	private static final int LONGEST_LINE = 8_192;
+	private static final int MAX_INITIAL_LINE_LENGTH = 8_192;
 
-	private static final int LARGEST_HEADER = 65_536;
+	private static final int MAX_HEADER_SIZE = 65_536;
 
-	private static final int CHUNK = 16_384;
+	private static final int MAX_CHUNK_SIZE = 16_384;
 
 	/**
-	 * What the system says if nobody listens; a timeout is the same type of exception.
+	 * The operating system's message if nothing listens on the port; a connect timeout
+	 * has the same exception type.
 	 */
-	private static final String REFUSED = "Connection refused";
+	private static final String REFUSED_MESSAGE = "Connection refused";
 
 	private final NettyLoop loop;
 
@@ -85,12 +89,12 @@
 	@Override
 	public BackendExchange send(Backend to, OutgoingRequest request, BackendListener listener) {
 		BackendCall call = new BackendCall(this.dialect, to, request, listener);
-		BackendChannel kept = request.freshConnection() ? null : takeIdle(to.start());
-		if (kept != null) {
+		BackendChannel reused = request.freshConnection() ? null : takeIdle(to.start());
+		if (reused != null) {
 			this.reused++;
 			this.loop.execute(() -> {
-				if (kept.usable()) {
-					kept.begin(call);
+				if (reused.isReusable()) {
+					reused.begin(call);
 				}
 				else {
 					connect(to, call);
@@ -109,20 +113,20 @@
 		CompletableFuture<Boolean> refused = new CompletableFuture<>();
 		bootstrap().handler(new ChannelInboundHandlerAdapter())
 			.connect(endpoint.address().getHost(), endpoint.address().getPort())
-			.addListener((ChannelFuture done) -> {
-				done.channel().close();
-				refused.complete(!done.isSuccess() && isRefusal(done.cause()));
+			.addListener((ChannelFuture future) -> {
+				future.channel().close();
+				refused.complete(!future.isSuccess() && isRefusal(future.cause()));
 			});
 		return refused;
 	}
 
 	private static boolean isRefusal(Throwable cause) {
 		return cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException)
-				&& cause.getMessage().contains(REFUSED);
+				&& cause.getMessage().contains(REFUSED_MESSAGE);
 	}
 
 	/**
-	 * How many connections were made.
+	 * Returns the number of connections that were opened.
 	 * @return the number
 	 */
 	public long opened() {
@@ -130,30 +134,30 @@
 	}
 
 	/**
-	 * How many requests went over a kept connection.
+	 * Returns the number of requests sent on a reused connection.
 	 * @return the number
 	 */
 	public long reused() {
 		return this.reused;
 	}
 
-	void keep(EndpointStart start, BackendChannel channel) {
+	void release(EndpointStart start, BackendChannel channel) {
 		this.idle.computeIfAbsent(start, (key) -> new ArrayDeque<>()).addFirst(channel);
-		this.loop.schedule(KEPT_IDLE, channel::closeIfIdle);
+		this.loop.schedule(IDLE_TIMEOUT, channel::closeIfIdle);
 	}
 
-	void gone(EndpointStart start, BackendChannel channel) {
-		Deque<BackendChannel> kept = this.idle.get(start);
-		if (kept != null && kept.remove(channel) && kept.isEmpty()) {
+	void remove(EndpointStart start, BackendChannel channel) {
+		Deque<BackendChannel> channels = this.idle.get(start);
+		if (channels != null && channels.remove(channel) && channels.isEmpty()) {
 			this.idle.remove(start);
 		}
 	}
 
 	private BackendChannel takeIdle(EndpointStart start) {
-		Deque<BackendChannel> kept = this.idle.get(start);
-		while (kept != null && !kept.isEmpty()) {
-			BackendChannel channel = kept.pollFirst();
-			if (channel.usable()) {
+		Deque<BackendChannel> channels = this.idle.get(start);
+		while (channels != null && !channels.isEmpty()) {
+			BackendChannel channel = channels.pollFirst();
+			if (channel.isReusable()) {
 				return channel;
 			}
 		}
@@ -161,7 +165,7 @@
 	}
 
 	private void connect(Backend to, BackendCall call) {
-		if (call.over()) {
+		if (call.finished()) {
 			return;
 		}
 		Bootstrap bootstrap = bootstrap().option(ChannelOption.TCP_NODELAY, true)
@@ -171,25 +175,25 @@
 				@Override
 				protected void initChannel(Channel channel) {
 					channel.pipeline()
-						.addLast(new HttpClientCodec(LONGEST_LINE, LARGEST_HEADER, CHUNK))
+						.addLast(new HttpClientCodec(MAX_INITIAL_LINE_LENGTH, MAX_HEADER_SIZE, MAX_CHUNK_SIZE))
 						.addLast(new BackendChannel(BackendConnections.this, to.start(), channel));
 				}
 
 			});
 		if (this.loop.epoll()) {
-			bootstrap.option(EpollChannelOption.TCP_USER_TIMEOUT, (int) UNACKNOWLEDGED.toMillis())
-				.option(EpollChannelOption.TCP_KEEPIDLE, PROBE_SECONDS)
-				.option(EpollChannelOption.TCP_KEEPINTVL, PROBE_SECONDS)
-				.option(EpollChannelOption.TCP_KEEPCNT, PROBES);
+			bootstrap.option(EpollChannelOption.TCP_USER_TIMEOUT, (int) UNACKNOWLEDGED_TIMEOUT.toMillis())
+				.option(EpollChannelOption.TCP_KEEPIDLE, KEEPALIVE_PROBE_SECONDS)
+				.option(EpollChannelOption.TCP_KEEPINTVL, KEEPALIVE_PROBE_SECONDS)
+				.option(EpollChannelOption.TCP_KEEPCNT, MAX_KEEPALIVE_PROBES);
 		}
 		ChannelFuture connected = bootstrap.connect(to.address().getHost(), to.address().getPort());
-		call.connecting(connected);
-		connected.addListener((done) -> {
-			if (done.isSuccess()) {
+		call.connectFuture(connected);
+		connected.addListener((future) -> {
+			if (future.isSuccess()) {
 				connected.channel().pipeline().get(BackendChannel.class).begin(call);
 			}
 			else {
-				call.failed(false, "connect: " + done.cause().getMessage());
+				call.failed(false, "connect: " + future.cause().getMessage());
 			}
 		});
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/CallerChannel.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/CallerChannel.java
@@ -23,19 +23,19 @@
 import org.jboss.logging.Logger;
 
 /**
- * One caller's connection: reads one request at a time and hands it on.
+ * One caller's connection: reads one request at a time and dispatches it.
  *
  * <p>
- * Invariants: a request is handed on only after its answer's predecessor has ended, so
- * that answers can't change places; what a caller sends ahead is bounded. Confined to the
- * loop's thread.
+ * Invariants: a request is dispatched only after the response to the previous one has
+ * ended, so that responses stay in order; the number of pipelined messages is bounded.
+ * Confined to the loop's thread.
  */
 final class CallerChannel extends ChannelInboundHandlerAdapter {
 
 	private static final Logger logger = Logger.getLogger(CallerChannel.class);
 
-	/** Messages that a caller may send ahead before it isn't read any more. */
-	private static final int MOST_AHEAD = 64;
+	/** Number of pipelined messages at which reading from the caller stops. */
+	private static final int MAX_PIPELINED_MESSAGES = 64;
 
 	private static final int TOO_LARGE = 413;
 
@@ -49,7 +49,7 @@
 
 	private final Channel channel;
 
-	private final Deque<Object> ahead = new ArrayDeque<>();
+	private final Deque<Object> pipelined = new ArrayDeque<>();
 
 	private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
@@ -57,25 +57,25 @@
 
 	private ChannelReply reply;
 
-	private Runnable gone = () -> {
+	private Runnable onDisconnect = () -> {
 	};
 
-	private boolean refused;
+	private boolean discarding;
 
-	private boolean waiting = true;
+	private boolean awaitingFirstByte = true;
 
 	private Cancellable timer;
 
 	CallerChannel(CallerServer server, Channel channel) {
 		this.server = server;
 		this.channel = channel;
-		this.timer = server.loop().schedule(server.limits().idleTimeout(), this::idleTooLong);
+		this.timer = server.loop().schedule(server.limits().idleTimeout(), this::idleTimedOut);
 	}
 
 	void bytesArrived() {
-		if (this.reply == null && this.waiting) {
-			this.waiting = false;
-			time(this.server.limits().headerTimeout(), this::headTooSlow);
+		if (this.reply == null && this.awaitingFirstByte) {
+			this.awaitingFirstByte = false;
+			startTimer(this.server.limits().headerTimeout(), this::headerTimedOut);
 		}
 	}
 
@@ -87,64 +87,64 @@
 
 	@Override
 	public void channelRead(ChannelHandlerContext context, Object message) {
-		if (this.refused) {
+		if (this.discarding) {
 			ReferenceCountUtil.release(message);
 		}
 		else if (this.reply != null) {
-			this.ahead.add(message);
-			if (this.ahead.size() >= MOST_AHEAD) {
+			this.pipelined.add(message);
+			if (this.pipelined.size() >= MAX_PIPELINED_MESSAGES) {
 				this.channel.config().setAutoRead(false);
 			}
 		}
 		else {
-			take(message);
+			process(message);
 		}
 	}
 
 	@Override
 	public void channelWritabilityChanged(ChannelHandlerContext context) {
 		if (this.channel.isWritable() && this.reply != null) {
-			this.reply.writable();
+			this.reply.channelWritable();
 		}
 	}
 
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
 		this.timer.cancel();
-		this.server.closed(this);
-		this.ahead.forEach(ReferenceCountUtil::release);
-		this.ahead.clear();
+		this.server.channelClosed(this);
+		this.pipelined.forEach(ReferenceCountUtil::release);
+		this.pipelined.clear();
 		if (this.reply != null) {
-			this.reply.gone();
-			this.gone.run();
+			this.reply.callerDisconnected();
+			this.onDisconnect.run();
 		}
 	}
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
 		if (!(cause instanceof IOException)) {
-			logger.warn("A caller's connection failed", cause);
+			logger.warn("Caller connection failed", cause);
 		}
 		context.close();
 	}
 
 	/**
-	 * The answer to the request at hand has ended.
+	 * Called when the response to the current request has ended.
 	 * @param close whether the connection ends with it
 	 */
-	void answered(boolean close) {
+	void responseEnded(boolean close) {
 		this.reply = null;
-		this.gone = () -> {
+		this.onDisconnect = () -> {
 		};
 		if (close) {
-			this.refused = true;
+			this.discarding = true;
 			return;
 		}
-		this.waiting = true;
-		time(this.server.limits().idleTimeout(), this::idleTooLong);
-		while (this.reply == null && !this.refused && !this.ahead.isEmpty()) {
+		this.awaitingFirstByte = true;
+		startTimer(this.server.limits().idleTimeout(), this::idleTimedOut);
+		while (this.reply == null && !this.discarding && !this.pipelined.isEmpty()) {
 			bytesArrived();
-			take(this.ahead.poll());
+			process(this.pipelined.poll());
 		}
 		this.channel.config().setAutoRead(true);
 	}
@@ -157,13 +157,13 @@
 		return this.server.leaving();
 	}
 
-	private void take(Object message) {
+	private void process(Object message) {
 		try {
 			if (message instanceof HttpRequest request) {
-				begin(request);
+				startRequest(request);
 			}
-			if (message instanceof HttpContent content && !this.refused) {
-				add(content);
+			if (message instanceof HttpContent content && !this.discarding) {
+				addContent(content);
 			}
 		}
 		finally {
@@ -171,7 +171,7 @@
 		}
 	}
 
-	private void begin(HttpRequest request) {
+	private void startRequest(HttpRequest request) {
 		if (request.decoderResult().isFailure()) {
 			boolean tooLong = request.decoderResult().cause() instanceof TooLongFrameException;
 			refuse(tooLong ? HEADERS_TOO_LARGE : BAD_REQUEST);
@@ -183,13 +183,13 @@
 		}
 		this.head = request;
 		this.body.reset();
-		time(this.server.bodyTimeout(), this::bodyTooSlow);
+		startTimer(this.server.bodyTimeout(), this::bodyTimedOut);
 		if (HttpUtil.is100ContinueExpected(request)) {
 			this.channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
 		}
 	}
 
-	private void add(HttpContent content) {
+	private void addContent(HttpContent content) {
 		if (this.head == null || content.decoderResult().isFailure()) {
 			refuse(BAD_REQUEST);
 			return;
@@ -202,57 +202,57 @@
 		content.content().readBytes(bytes);
 		this.body.write(bytes, 0, bytes.length);
 		if (content instanceof LastHttpContent) {
-			hand();
+			dispatch();
 		}
 	}
 
-	private void hand() {
+	private void dispatch() {
 		HttpRequest request = this.head;
 		this.head = null;
 		this.timer.cancel();
-		CallerRequest read;
+		CallerRequest parsed;
 		try {
-			read = this.server.dialect().request(request, this.body.toByteArray());
+			parsed = this.server.dialect().request(request, this.body.toByteArray());
 		}
 		catch (WireDialect.BadRequestException ex) {
-			logger.debugf("Refused a request: %s", ex.getMessage());
+			logger.debugf("Rejected a malformed request: %s", ex.getMessage());
 			refuse(BAD_REQUEST);
 			return;
 		}
 		this.body.reset();
 		this.reply = new ChannelReply(this, request);
 		ChannelReply current = this.reply;
-		Runnable whenGone = this.server.requests().take(read, current);
+		Runnable disconnectTask = this.server.requests().take(parsed, current);
 		if (this.reply == current) {
-			this.gone = whenGone;
+			this.onDisconnect = disconnectTask;
 		}
 	}
 
 	private void refuse(int status) {
-		this.refused = true;
+		this.discarding = true;
 		this.head = null;
 		this.timer.cancel();
 		ChannelReply.refuse(this.channel, status);
 	}
 
-	private void time(Duration limit, Runnable task) {
+	private void startTimer(Duration limit, Runnable task) {
 		this.timer.cancel();
 		this.timer = this.server.loop().schedule(limit, task);
 	}
 
-	private void headTooSlow() {
+	private void headerTimedOut() {
 		if (this.reply == null && this.head == null) {
 			refuse(TIMEOUT);
 		}
 	}
 
-	private void bodyTooSlow() {
+	private void bodyTimedOut() {
 		if (this.head != null) {
 			refuse(TIMEOUT);
 		}
 	}
 
-	private void idleTooLong() {
+	private void idleTimedOut() {
 		closeIfIdle();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/CallerServer.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/CallerServer.java
@@ -15,48 +15,50 @@
 import io.netty.channel.ChannelOption;
 import io.netty.handler.codec.http.HttpServerCodec;
 import org.bramleyscale.internal.gateway.catalog.CallerLimits;
-import org.bramleyscale.internal.gateway.request.CallerRequests;
+import org.bramleyscale.internal.gateway.request.CallerRequestHandler;
 
 /**
- * Listens for callers.
+ * Accepts connections from callers.
  *
  * <p>
  * Confined to the loop's thread, except for {@link #listen}, which blocks and must be
- * called from another.
+ * called from another thread.
  */
 public final class CallerServer {
 
-	private static final int LONGEST_LINE = 8_192;
+	private static final int MAX_INITIAL_LINE_LENGTH = 8_192;
 
-	private static final int CHUNK = 8_192;
+	private static final int MAX_CHUNK_SIZE = 8_192;
 
 	/**
-	 * New connections that wait to be accepted: a burst of all callers of a small site.
+	 * Number of connections that may wait to be accepted: a burst of all callers of a
+	 * small site.
 	 */
 	private static final int BACKLOG = 1_024;
 
 	private final NettyLoop loop;
 
-	private final CallerRequests requests;
+	private final CallerRequestHandler requests;
 
 	private final WireDialect dialect;
 
 	private final Supplier<CallerLimits> limits;
 
-	private final Set<CallerChannel> open = new HashSet<>();
+	private final Set<CallerChannel> channels = new HashSet<>();
 
 	private boolean leaving;
 
 	private Channel server;
 
 	/**
-	 * Makes a server that doesn't listen yet.
+	 * Creates a server that doesn't listen yet.
 	 * @param loop the daemon's loop
-	 * @param requests takes the requests
-	 * @param dialect reads them
+	 * @param requests handles the requests
+	 * @param dialect reads the requests
 	 * @param limits the limits in force
 	 */
-	public CallerServer(NettyLoop loop, CallerRequests requests, WireDialect dialect, Supplier<CallerLimits> limits) {
+	public CallerServer(NettyLoop loop, CallerRequestHandler requests, WireDialect dialect,
+			Supplier<CallerLimits> limits) {
 		this.loop = loop;
 		this.requests = requests;
 		this.dialect = dialect;
@@ -64,9 +66,9 @@
 	}
 
 	/**
-	 * Begins to listen.
+	 * Starts to listen.
 	 * @param address the address
-	 * @throws IOException if it can't be bound
+	 * @throws IOException if the address can't be bound
 	 */
 	public void listen(InetSocketAddress address) throws IOException {
 		ChannelFuture bound = new ServerBootstrap().group(this.loop.group())
@@ -91,35 +93,35 @@
 	}
 
 	/**
-	 * From now on each answer asks its caller to close the connection.
+	 * Makes each further response ask its caller to close the connection.
 	 */
 	public void leave() {
 		this.leaving = true;
 	}
 
 	/**
-	 * Takes no new connections and closes those without a request.
+	 * Stops accepting connections and closes those without a request.
 	 */
 	public void closeIdle() {
 		if (this.server != null) {
 			this.server.close();
 		}
-		List.copyOf(this.open).forEach(CallerChannel::closeIfIdle);
+		List.copyOf(this.channels).forEach(CallerChannel::closeIfIdle);
 	}
 
 	/**
-	 * How many callers are connected.
-	 * @return the number of connections
+	 * Returns the number of open connections from callers.
+	 * @return the number
 	 */
 	public int connections() {
-		return this.open.size();
+		return this.channels.size();
 	}
 
 	boolean leaving() {
 		return this.leaving;
 	}
 
-	CallerRequests requests() {
+	CallerRequestHandler requests() {
 		return this.requests;
 	}
 
@@ -135,22 +137,22 @@
 		return this.loop;
 	}
 
-	void closed(CallerChannel channel) {
-		this.open.remove(channel);
+	void channelClosed(CallerChannel channel) {
+		this.channels.remove(channel);
 	}
 
 	private void accept(Channel channel) {
 		CallerChannel caller = new CallerChannel(this, channel);
-		this.open.add(caller);
-		// The decoder counts the request line apart from the headers.
+		this.channels.add(caller);
+		// The decoder's limits for the request line and for the headers are separate.
 		channel.pipeline()
-			.addLast(new FirstByte(caller))
-			.addLast(new HttpServerCodec(LONGEST_LINE, limits().headerBytes(), CHUNK))
+			.addLast(new FirstByteDetector(caller))
+			.addLast(new HttpServerCodec(MAX_INITIAL_LINE_LENGTH, limits().headerBytes(), MAX_CHUNK_SIZE))
 			.addLast(caller);
 	}
 
 	/**
-	 * The time after which a body that doesn't go on is given up.
+	 * Returns the time after which a body that isn't complete is rejected.
 	 * @return the time
 	 */
 	Duration bodyTimeout() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/ChannelReply.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/ChannelReply.java
@@ -28,16 +28,16 @@
 import org.bramleyscale.internal.gateway.request.Header;
 
 /**
- * The answer on a caller's connection.
+ * The response on a caller's connection.
  *
  * <p>
- * Invariant: at most one answer is written, and a stream that was broken off ends with a
- * reset and without its last chunk, so that nobody takes it for whole. Confined to the
- * loop's thread.
+ * Invariant: at most one response is written, and an aborted stream ends with a reset and
+ * without its last chunk, so that it can't be taken for complete. Confined to the loop's
+ * thread.
  */
 final class ChannelReply implements CallerReply {
 
-	private static final double MILLIS = 1_000.0;
+	private static final double MILLIS_PER_SECOND = 1_000.0;
 
 	private final CallerChannel caller;
 
@@ -47,11 +47,11 @@
 
 	private final boolean headOnly;
 
-	private final boolean chunks;
+	private final boolean chunked;
 
-	private boolean over;
+	private boolean finished;
 
-	private Runnable readsAgain = () -> {
+	private Runnable writableCallback = () -> {
 	};
 
 	ChannelReply(CallerChannel caller, HttpRequest request) {
@@ -59,11 +59,11 @@
 		this.channel = caller.channel();
 		this.keepAlive = HttpUtil.isKeepAlive(request);
 		this.headOnly = HttpMethod.HEAD.equals(request.method());
-		this.chunks = request.protocolVersion().isKeepAliveDefault();
+		this.chunked = request.protocolVersion().isKeepAliveDefault();
 	}
 
 	/**
-	 * Answers a request that couldn't be read, and closes the connection.
+	 * Responds to a request that couldn't be read, and closes the connection.
 	 * @param channel the connection
 	 * @param status the status
 	 */
@@ -77,7 +77,7 @@
 
 	@Override
 	public void whole(int status, List<Header> headers, byte[] body) {
-		if (this.over) {
+		if (this.finished) {
 			return;
 		}
 		ByteBuf content = this.headOnly ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body);
@@ -90,7 +90,7 @@
 
 	@Override
 	public void own(int status, String reason, Duration retryAfter) {
-		if (this.over) {
+		if (this.finished) {
 			return;
 		}
 		byte[] text = (reason + "\n").getBytes(StandardCharsets.UTF_8);
@@ -100,7 +100,8 @@
 		response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
 		if (!retryAfter.isNegative() && !retryAfter.isZero()) {
 			response.headers()
-				.set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfter.toMillis() / MILLIS));
+				.set(HttpHeaderNames.RETRY_AFTER,
+						String.format(Locale.ROOT, "%.3f", retryAfter.toMillis() / MILLIS_PER_SECOND));
 		}
 		HttpUtil.setContentLength(response, text.length);
 		finish(response);
@@ -108,21 +109,21 @@
 
 	@Override
 	public void begin(int status, List<Header> headers) {
-		if (this.over) {
+		if (this.finished) {
 			return;
 		}
 		HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
 		headers.forEach((header) -> response.headers().add(header.name(), header.value()));
-		if (this.chunks) {
+		if (this.chunked) {
 			HttpUtil.setTransferEncodingChunked(response, true);
 		}
-		connection(response);
+		setConnectionHeader(response);
 		this.channel.write(response, this.channel.voidPromise());
 	}
 
 	@Override
 	public boolean write(byte[] data) {
-		if (this.over) {
+		if (this.finished) {
 			return true;
 		}
 		this.channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(data)), this.channel.voidPromise());
@@ -131,65 +132,65 @@
 
 	@Override
 	public void onReadsAgain(Runnable task) {
-		this.readsAgain = task;
+		this.writableCallback = task;
 	}
 
 	@Override
 	public void end() {
-		if (this.over) {
+		if (this.finished) {
 			return;
 		}
-		this.over = true;
-		boolean close = closes() || !this.chunks;
+		this.finished = true;
+		boolean close = closesConnection() || !this.chunked;
 		var written = this.channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
 		if (close) {
 			written.addListener(ChannelFutureListener.CLOSE);
 		}
-		this.caller.answered(close);
+		this.caller.responseEnded(close);
 	}
 
 	@Override
 	public void abort() {
-		if (!this.over) {
-			this.over = true;
-			// Zero linger turns the close into a reset, also towards callers that read
-			// a body until its connection ends.
+		if (!this.finished) {
+			this.finished = true;
+			// Zero linger turns the close into a reset, including for callers that read a
+			// body until its connection ends.
 			this.channel.config().setOption(ChannelOption.SO_LINGER, 0);
 			this.channel.close();
-			this.caller.answered(true);
+			this.caller.responseEnded(true);
 		}
 	}
 
 	/**
-	 * The caller has closed the connection.
+	 * Called when the caller has closed the connection.
 	 */
-	void gone() {
-		this.over = true;
+	void callerDisconnected() {
+		this.finished = true;
 	}
 
-	void writable() {
-		this.readsAgain.run();
+	void channelWritable() {
+		this.writableCallback.run();
 	}
 
 	private void finish(FullHttpResponse response) {
-		this.over = true;
-		connection(response);
+		this.finished = true;
+		setConnectionHeader(response);
 		var written = this.channel.writeAndFlush(response);
-		if (closes()) {
+		if (closesConnection()) {
 			written.addListener(ChannelFutureListener.CLOSE);
 		}
-		this.caller.answered(closes());
+		this.caller.responseEnded(closesConnection());
 	}
 
-	private boolean closes() {
+	private boolean closesConnection() {
 		return !this.keepAlive || this.caller.leaving();
 	}
 
-	private void connection(HttpMessage response) {
-		if (closes()) {
+	private void setConnectionHeader(HttpMessage response) {
+		if (closesConnection()) {
 			response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
 		}
-		else if (!this.chunks) {
+		else if (!this.chunked) {
 			response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/FirstByte.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/FirstByteDetector.java
@@ -4,18 +4,18 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Tells when bytes arrive, before the decoder makes anything of them.
+ * Notifies a caller's channel of incoming bytes before they are decoded.
  *
  * <p>
- * Without it a caller that sends its header block one byte at a time would look idle and
- * not slow, and could hold a connection for as long as it likes. Confined to the
- * channel's thread.
+ * Without it a caller that sends its header block one byte at a time would count as idle
+ * and not as slow, and could hold a connection indefinitely. Confined to the channel's
+ * thread.
  */
-final class FirstByte extends ChannelInboundHandlerAdapter {
+final class FirstByteDetector extends ChannelInboundHandlerAdapter {
 
 	private final CallerChannel caller;
 
-	FirstByte(CallerChannel caller) {
+	FirstByteDetector(CallerChannel caller) {
 		this.caller = caller;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/JsonClient.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/JsonClient.java
@@ -28,27 +28,27 @@
 import org.bramleyscale.internal.time.Cancellable;
 
 /**
- * Calls one server with small documents, such as the platform's store.
+ * Calls one server that exchanges small documents, such as the platform's store.
  *
  * <p>
  * Invariants: each call completes on the loop's thread within its time limit; a
- * connection on which a call failed or timed out is closed, since a server that lost an
- * answer sends nothing more on it, and a connection may go silent for good while new ones
- * work. Confined to the loop's thread.
+ * connection on which a call failed or timed out is closed, since a server that lost a
+ * response sends nothing more on it, and a connection may stay silent for good while new
+ * ones work. Confined to the loop's thread.
  */
 public final class JsonClient {
 
-	private static final int LARGEST_ANSWER = 64 * 1024 * 1024;
+	private static final int MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
 	private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-	private static final int MOST_IDLE = 4;
+	private static final int MAX_IDLE_CONNECTIONS = 4;
 
 	private final NettyLoop loop;
 
 	private final HostAndPort address;
 
-	private final Deque<Call> idle = new ArrayDeque<>();
+	private final Deque<Connection> idle = new ArrayDeque<>();
 
 	public JsonClient(NettyLoop loop, HostAndPort address) {
 		this.loop = loop;
@@ -56,12 +56,13 @@
 	}
 
 	/**
-	 * Makes a call.
+	 * Calls the server.
 	 * @param method the method
 	 * @param target path and query
 	 * @param body the body; empty for none
-	 * @param limit how long the call may take
-	 * @return completes with the answer, or with an {@link IOException} if none came
+	 * @param limit the time limit of the call
+	 * @return completes with the response, or with an {@link IOException} if there was
+	 * none
 	 */
 	public CompletableFuture<Answer> call(HttpMethod method, String target, byte[] body, Duration limit) {
 		CompletableFuture<Answer> result = new CompletableFuture<>();
@@ -72,9 +73,9 @@
 			request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
 			request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
 		}
-		Call kept = takeIdle();
-		if (kept != null) {
-			kept.send(request, result, limit);
+		Connection reused = takeIdle();
+		if (reused != null) {
+			reused.send(request, result, limit);
 		}
 		else {
 			connect(request, result, limit);
@@ -82,11 +83,11 @@
 		return result;
 	}
 
-	private Call takeIdle() {
+	private Connection takeIdle() {
 		while (!this.idle.isEmpty()) {
-			Call call = this.idle.pollFirst();
-			if (call.channel.isActive()) {
-				return call;
+			Connection connection = this.idle.pollFirst();
+			if (connection.channel.isActive()) {
+				return connection;
 			}
 		}
 		return null;
@@ -104,26 +105,26 @@
 				protected void initChannel(Channel channel) {
 					channel.pipeline()
 						.addLast(new HttpClientCodec())
-						.addLast(new HttpObjectAggregator(LARGEST_ANSWER))
-						.addLast(new Call(channel));
+						.addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES))
+						.addLast(new Connection(channel));
 				}
 
 			})
 			.connect(this.address.getHost(), this.address.getPort())
-			.addListener((io.netty.channel.ChannelFuture done) -> {
-				if (done.isSuccess()) {
-					done.channel().pipeline().get(Call.class).send(request, result, limit);
+			.addListener((io.netty.channel.ChannelFuture future) -> {
+				if (future.isSuccess()) {
+					future.channel().pipeline().get(Connection.class).send(request, result, limit);
 				}
 				else {
 					request.release();
 					result.completeExceptionally(new NotSentException(
-							"can't connect to " + this.address + ": " + done.cause().getMessage()));
+							"can't connect to " + this.address + ": " + future.cause().getMessage()));
 				}
 			});
 	}
 
 	/**
-	 * The server's answer.
+	 * A response of the server.
 	 *
 	 * @param status the status
 	 * @param headers the headers
@@ -139,7 +140,7 @@
 	}
 
 	/**
-	 * The request was certainly not sent.
+	 * Thrown if the request was certainly not sent.
 	 */
 	public static final class NotSentException extends IOException {
 
@@ -152,9 +153,9 @@
 	}
 
 	/**
-	 * One connection and the call on it.
+	 * One connection and the call in progress on it.
 	 */
-	private final class Call extends SimpleChannelInboundHandler<FullHttpResponse> {
+	private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
 		private final Channel channel;
 
@@ -163,16 +164,16 @@
 		private Cancellable timer = () -> {
 		};
 
-		private Call(Channel channel) {
+		private Connection(Channel channel) {
 			this.channel = channel;
 		}
 
-		private void send(FullHttpRequest request, CompletableFuture<Answer> future, Duration limit) {
-			this.result = future;
-			this.timer = JsonClient.this.loop.schedule(limit, () -> fail("no answer within " + limit));
-			this.channel.writeAndFlush(request).addListener((done) -> {
-				if (!done.isSuccess()) {
-					fail("write: " + done.cause().getMessage());
+		private void send(FullHttpRequest request, CompletableFuture<Answer> result, Duration limit) {
+			this.result = result;
+			this.timer = JsonClient.this.loop.schedule(limit, () -> fail("no response within " + limit));
+			this.channel.writeAndFlush(request).addListener((future) -> {
+				if (!future.isSuccess()) {
+					fail("write: " + future.cause().getMessage());
 				}
 			});
 		}
@@ -180,21 +181,21 @@
 		@Override
 		protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
 			if (this.result == null || response.decoderResult().isFailure()) {
-				fail("not an answer in the protocol");
+				fail("malformed or unsolicited response");
 				return;
 			}
 			byte[] body = new byte[response.content().readableBytes()];
 			response.content().readBytes(body);
-			CompletableFuture<Answer> answered = this.result;
+			CompletableFuture<Answer> completed = this.result;
 			this.result = null;
 			this.timer.cancel();
-			if (HttpUtil.isKeepAlive(response) && JsonClient.this.idle.size() < MOST_IDLE) {
+			if (HttpUtil.isKeepAlive(response) && JsonClient.this.idle.size() < MAX_IDLE_CONNECTIONS) {
 				JsonClient.this.idle.addFirst(this);
 			}
 			else {
 				this.channel.close();
 			}
-			answered.complete(new Answer(response.status().code(), response.headers(), body));
+			completed.complete(new Answer(response.status().code(), response.headers(), body));
 		}
 
 		@Override
@@ -213,9 +214,9 @@
 			this.channel.close();
 			JsonClient.this.idle.remove(this);
 			if (this.result != null) {
-				CompletableFuture<Answer> failed = this.result;
+				CompletableFuture<Answer> pending = this.result;
 				this.result = null;
-				failed.completeExceptionally(new IOException(JsonClient.this.address + ": " + cause));
+				pending.completeExceptionally(new IOException(JsonClient.this.address + ": " + cause));
 			}
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/NettyLoop.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/NettyLoop.java
@@ -17,11 +17,11 @@
 import org.bramleyscale.internal.time.ExecutorScheduler;
 
 /**
- * One thread for all of a daemon's relaying: its sockets and its decisions.
+ * The single thread for all of a daemon's relaying: its sockets and its decisions.
  *
  * <p>
- * On a small VM a second thread gains nothing, and each hand-over costs two wake-ups a
- * request. Safe for use by multiple threads.
+ * On a small VM a second thread gains nothing, and each hand-over between threads costs
+ * two wake-ups per request. Safe for use by multiple threads.
  */
 public final class NettyLoop extends ExecutorScheduler {
 
@@ -50,8 +50,8 @@
 	}
 
 	/**
-	 * This loop for connections with peers.
-	 * @return loops that end with this one
+	 * Returns this loop for use by connections with peers.
+	 * @return event loops that end with this one
 	 */
 	public PeerLoops forPeers() {
 		return new PeerLoops(this.group, channel(), serverChannel(), true);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/PassedHeaders.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/PassedHeaders.java
@@ -12,14 +12,14 @@
 import org.bramleyscale.internal.gateway.request.Header;
 
 /**
- * Tells end-to-end headers from those that concern one connection only.
+ * Separates end-to-end headers from hop-by-hop headers.
  *
  * <p>
  * Stateless and safe for use by multiple threads.
  */
 public final class PassedHeaders {
 
-	private static final Set<String> ONE_CONNECTION = Set.of("connection", "keep-alive", "proxy-connection",
+	private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection",
 			"proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
 			"content-length", "expect");
 
@@ -27,26 +27,26 @@
 	}
 
 	/**
-	 * The headers that pass on.
+	 * Returns the end-to-end headers.
 	 * @param headers all headers
-	 * @param besides names, in lower case, of further headers that don't pass
+	 * @param excluded names, in lower case, of further headers to remove
 	 * @return the end-to-end headers in their order
 	 */
-	public static List<Header> of(HttpHeaders headers, Set<String> besides) {
-		Set<String> dropped = new HashSet<>(besides);
+	public static List<Header> of(HttpHeaders headers, Set<String> excluded) {
+		Set<String> dropped = new HashSet<>(excluded);
 		for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
 			for (String name : value.split(",")) {
 				dropped.add(name.strip().toLowerCase(Locale.ROOT));
 			}
 		}
-		List<Header> passed = new ArrayList<>();
+		List<Header> endToEnd = new ArrayList<>();
 		for (Map.Entry<String, String> header : headers) {
 			String name = header.getKey().toLowerCase(Locale.ROOT);
-			if (!ONE_CONNECTION.contains(name) && !dropped.contains(name)) {
-				passed.add(new Header(header.getKey(), header.getValue()));
+			if (!HOP_BY_HOP.contains(name) && !dropped.contains(name)) {
+				endToEnd.add(new Header(header.getKey(), header.getValue()));
 			}
 		}
-		return passed;
+		return endToEnd;
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/WireDialect.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/WireDialect.java
@@ -9,56 +9,56 @@
 import org.bramleyscale.internal.gateway.request.OutgoingRequest;
 
 /**
- * What callers and endpoints call the things that the product needs to know.
+ * Translates between the HTTP headers of callers and endpoints and the typed fields that
+ * the product needs.
  *
  * <p>
- * Implementations translate between headers and typed fields, decide nothing, and are
- * safe for use by multiple threads.
+ * Implementations make no decisions and are safe for use by multiple threads.
  */
 public interface WireDialect {
 
 	/**
 	 * Reads a caller's request.
 	 * @param head the head
-	 * @param body the whole body
+	 * @param body the complete body
 	 * @return the request
 	 * @throws BadRequestException if a field that the product needs can't be read
 	 */
 	CallerRequest request(HttpRequest head, byte[] body) throws BadRequestException;
 
 	/**
-	 * Writes the headers of a request towards an endpoint, all but those that frame the
+	 * Writes the headers of a request to an endpoint, except for those that frame the
 	 * body.
 	 * @param to the endpoint
 	 * @param request the request
-	 * @param headers takes the headers
+	 * @param headers receives the headers
 	 */
 	void write(Backend to, OutgoingRequest request, HttpHeaders headers);
 
 	/**
-	 * Whether an endpoint's answer belongs to a request.
-	 * @param answer the answer's head
+	 * Whether an endpoint's response belongs to a request.
+	 * @param response the head of the response
 	 * @param request the request
-	 * @return false if it is the late answer to another one
+	 * @return false if it is a late response to another one
 	 */
-	boolean belongs(HttpResponse answer, CallerRequest request);
+	boolean belongs(HttpResponse response, CallerRequest request);
 
 	/**
-	 * Reads the head of an endpoint's answer.
-	 * @param answer the head
-	 * @return what it says
+	 * Reads the head of an endpoint's response.
+	 * @param response the head
+	 * @return the typed head
 	 */
-	BackendHead answer(HttpResponse answer);
+	BackendHead answer(HttpResponse response);
 
 	/**
-	 * A caller's request has a field that can't be read.
+	 * Thrown if a field of a caller's request can't be read.
 	 */
 	final class BadRequestException extends Exception {
 
 		private static final long serialVersionUID = 1L;
 
 		/**
-		 * Makes the exception.
+		 * Creates the exception.
 		 * @param message names the field and the offending value
 		 */
 		public BadRequestException(String message) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/package-info.java
@@ -1,4 +1,4 @@
 /**
- * HTTP towards callers, endpoints and the platform, on Netty.
+ * HTTP connections with callers, endpoints and the platform, based on Netty.
  */
 package org.bramleyscale.internal.gateway.http;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/DecisionLog.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/DecisionLog.java
@@ -1,52 +1,52 @@
 package org.bramleyscale.internal.gateway.log;
 
 /**
- * Takes one line for each decision that touches a request or changes what a daemon
- * believes.
+ * A structured log of each decision that affects a request or changes what a daemon
+ * assumes about the system.
  *
  * <p>
- * Fields are given as names and values by turns. Implementations never block and are safe
- * for use by multiple threads. <pre>
+ * Fields are alternating names and values. Implementations never block and are safe for
+ * use by multiple threads. <pre>
  * log.request(id, "refused", "status", 503, "reason", "no endpoint", "catalog", 7);
  * </pre>
  */
 public interface DecisionLog {
 
-	/** Takes nothing; for tests and tools. */
+	/** Discards all lines; for tests and tools. */
 	DecisionLog NONE = (kind, subject, fields) -> {
 	};
 
 	/**
 	 * Writes a line.
-	 * @param kind what the line is about: {@code request}, {@code belief} or
-	 * {@code daemon}
-	 * @param subject names and values that say which one
-	 * @param fields names and values by turns
+	 * @param kind what the line is about: {@code request}, {@code belief} or {@code
+	 * daemon}
+	 * @param subject alternating names and values that identify the subject
+	 * @param fields alternating names and values
 	 */
 	void line(String kind, Object[] subject, Object[] fields);
 
 	/**
-	 * Writes what was decided about a request.
+	 * Logs a decision about a request.
 	 * @param id the request's id
-	 * @param decision what was decided
-	 * @param fields the inputs, their age or version, and the outcome
+	 * @param decision the decision
+	 * @param fields its inputs, their age or version, and the outcome
 	 */
 	default void request(Object id, String decision, Object... fields) {
 		line("request", new Object[] { "id", id, "decision", decision }, fields);
 	}
 
 	/**
-	 * Writes what this daemon now believes of something.
-	 * @param subject the kind of thing, for instance {@code endpoint}
-	 * @param name which one
-	 * @param fields what is believed and why
+	 * Logs a change in what this daemon assumes about a part of the system.
+	 * @param subject the kind of part, for instance {@code endpoint}
+	 * @param name its name
+	 * @param fields the new assumption and its reasons
 	 */
 	default void belief(String subject, Object name, Object... fields) {
 		line("belief", new Object[] { subject, name }, fields);
 	}
 
 	/**
-	 * Writes a step in the daemon's own life.
+	 * Logs an event in the daemon's lifecycle.
 	 * @param event for instance {@code start}
 	 * @param fields details
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/JsonLines.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/JsonLines.java
@@ -12,25 +12,26 @@
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 
 /**
- * Writes lines as JSON from a thread of its own.
+ * Writes the decision log as lines of JSON from a dedicated thread.
  *
  * <p>
- * Invariant: a caller never waits. Whoever reads the output may stop reading; a daemon
- * that waits for it would hold up every request for the sake of a log. So lines queue up
- * to a bound, those beyond it are dropped, and the next line that fits says how many.
- * Safe for use by multiple threads.
+ * Invariant: a caller never blocks. The reader of the output may stop reading, and a
+ * daemon that waited for it would delay every request for the sake of a log. Lines are
+ * therefore queued up to a bound; those beyond it are dropped, and the next line that
+ * fits reports their number. Safe for use by multiple threads.
  */
 public final class JsonLines implements DecisionLog, AutoCloseable {
 
 	/**
-	 * Lines that wait at most: about two seconds of the most that a daemon writes (some
-	 * 400 lines a second while all its requests fail), and 250 KB of memory.
+	 * Maximum number of queued lines: about two seconds of the highest rate at which a
+	 * daemon writes (some 400 lines a second while all its requests fail), and 250 KB of
+	 * memory.
 	 */
-	private static final int MOST_WAITING = 1_000;
+	private static final int MAX_QUEUED_LINES = 1_000;
 
-	private static final String END = "";
+	private static final String END_MARKER = "";
 
-	private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
+	private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
 
 	private final AtomicLong dropped = new AtomicLong();
 
@@ -42,8 +43,8 @@
 
 	/**
 	 * Starts the writer.
-	 * @param output where lines go
-	 * @param daemon the daemon's name, which each line bears
+	 * @param output receives the lines
+	 * @param daemon the daemon's name, which is part of each line
 	 * @param time the time of day
 	 */
 	public JsonLines(OutputStream output, String daemon, Supplier<Instant> time) {
@@ -58,7 +59,7 @@
 	public void line(String kind, Object[] subject, Object[] fields) {
 		StringBuilder line = new StringBuilder(192);
 		line.append("{\"time\":\"").append(this.time.get()).append("\",\"daemon\":");
-		quote(line, this.daemon);
+		appendQuoted(line, this.daemon);
 		line.append(",\"kind\":\"").append(kind).append('"');
 		append(line, subject);
 		append(line, fields);
@@ -66,7 +67,7 @@
 	}
 
 	/**
-	 * How many lines were dropped and not yet reported.
+	 * Returns the number of lines that were dropped and not yet reported.
 	 * @return the number
 	 */
 	public long dropped() {
@@ -74,11 +75,11 @@
 	}
 
 	/**
-	 * Writes what waits and ends the writer, waiting for it for a moment only.
+	 * Writes the queued lines and ends the writer, waiting for it only briefly.
 	 */
 	@Override
 	public void close() {
-		if (this.waiting.offer(END)) {
+		if (this.queue.offer(END_MARKER)) {
 			try {
 				this.writer.join(200);
 			}
@@ -89,27 +90,27 @@
 	}
 
 	private void offer(String line) {
-		long lost = this.dropped.get();
-		if (lost > 0 && this.waiting.remainingCapacity() > 1 && this.dropped.compareAndSet(lost, 0)) {
-			this.waiting.offer("{\"kind\":\"daemon\",\"event\":\"lines dropped\",\"count\":" + lost + "}\n");
+		long unreported = this.dropped.get();
+		if (unreported > 0 && this.queue.remainingCapacity() > 1 && this.dropped.compareAndSet(unreported, 0)) {
+			this.queue.offer("{\"kind\":\"daemon\",\"event\":\"lines dropped\",\"count\":" + unreported + "}\n");
 		}
-		if (!this.waiting.offer(line)) {
+		if (!this.queue.offer(line)) {
 			this.dropped.incrementAndGet();
 		}
 	}
 
 	private void write(OutputStream output) {
 		try {
-			for (String line = this.waiting.take(); !line.equals(END); line = this.waiting.take()) {
+			for (String line = this.queue.take(); !line.equals(END_MARKER); line = this.queue.take()) {
 				output.write(line.getBytes(StandardCharsets.UTF_8));
-				if (this.waiting.isEmpty()) {
+				if (this.queue.isEmpty()) {
 					output.flush();
 				}
 			}
 			output.flush();
 		}
 		catch (IOException ex) {
-			// Standard output is gone, and with it the only place to say so.
+			// Standard output has failed, so there is nowhere left to report it.
 			this.dropped.incrementAndGet();
 		}
 		catch (InterruptedException ex) {
@@ -125,12 +126,12 @@
 				line.append(value);
 			}
 			else {
-				quote(line, value.toString());
+				appendQuoted(line, value.toString());
 			}
 		}
 	}
 
-	private static void quote(StringBuilder line, String text) {
+	private static void appendQuoted(StringBuilder line, String text) {
 		line.append('"');
 		JsonStringEncoder.getInstance().quoteAsString(text, line);
 		line.append('"');
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/LogRecords.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/LogRecords.java
@@ -8,8 +8,8 @@
 import java.util.logging.SimpleFormatter;
 
 /**
- * Turns what the product's and the libraries' loggers write into lines of the decision
- * log, so that a process has one stream of output.
+ * A logging handler that writes the records of the product's and the libraries' loggers
+ * to the decision log, so that a process has one output stream.
  *
  * <p>
  * Safe for use by multiple threads.
@@ -25,8 +25,8 @@
 	}
 
 	/**
-	 * Takes the place of all handlers of the root logger.
-	 * @param log takes the lines
+	 * Replaces all handlers of the root logger.
+	 * @param log receives the lines
 	 */
 	public static void install(DecisionLog log) {
 		LogManager.getLogManager().reset();
@@ -46,7 +46,7 @@
 
 	@Override
 	public void flush() {
-		// The log writes by itself.
+		// The decision log flushes by itself.
 	}
 
 	@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/package-info.java
@@ -1,4 +1,5 @@
 /**
- * One JSON line for each decision about a request and each change of belief.
+ * A structured log with one line of JSON for each decision about a request and each
+ * change in what a daemon assumes about the system.
  */
 package org.bramleyscale.internal.gateway.log;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/Attempt.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/Attempt.java
@@ -15,44 +15,59 @@
 import org.bramleyscale.internal.time.Cancellable;
 
 /**
- * One sending of a relayed request to one endpoint.
+ * One attempt to run a relayed request on one endpoint.
  *
  * <p>
- * Invariant: after {@link #cancel} it tells its request nothing more, and its work has
- * left the load board. Confined to the scheduler's thread.
+ * Invariant: after {@link #cancel} it makes no further calls to its request, and its work
+ * is removed from the load board. Confined to the scheduler's thread.
  */
 final class Attempt implements BackendListener {
 
-	/** Answers that aren't streams are kept up to this size before they are passed on. */
-	private static final int LARGEST_WHOLE = 16 * 1024 * 1024;
+	/**
+	 * Maximum size of a response that is not streamed; it is buffered completely before
+	 * it is relayed.
+	 */
+	private static final int MAX_BUFFERED_BYTES = 16 * 1024 * 1024;
 
-	/** What a first event may be late beyond twice its prediction. */
-	private static final Duration FIRST_SLACK = Duration.ofMillis(600);
+	/** Added to twice the predicted time of the first event to get its timeout. */
+	private static final Duration FIRST_EVENT_SLACK = Duration.ofMillis(600);
 
 	private static final Duration TARGET_SLACK = Duration.ofMillis(300);
 
-	/** The shortest silence between events that is taken for a failure. */
-	private static final Duration LEAST_SILENCE = Duration.ofMillis(800);
+	/** The shortest silence between events that counts as a failure. */
+	private static final Duration MIN_SILENCE_TIMEOUT = Duration.ofMillis(800);
 
-	/** Pauses of that many times what callers allow are taken for a failure. */
-	private static final int MOST_PAUSES = 4;
+	/**
+	 * A silence of this many times the longest pause that callers accept counts as a
+	 * failure.
+	 */
+	private static final int MAX_PAUSE_MULTIPLE = 4;
 
-	/** A caller leaves at its patience's end; another endpoint needs the rest of it. */
-	private static final double PATIENCE_USED = 0.6;
+	/**
+	 * Fraction of the caller's patience that an attempt may use. The caller gives up when
+	 * its patience ends, and a second endpoint needs the rest of it.
+	 */
+	private static final double PATIENCE_FRACTION = 0.6;
 
-	/** A repeat of a call without events needs half of the time that is left. */
-	private static final double TIME_USED = 0.5;
+	/**
+	 * Fraction of the time left that an attempt without events may use; a retry needs the
+	 * other half.
+	 */
+	private static final double TIME_LEFT_FRACTION = 0.5;
 
 	/**
-	 * An endpoint that has this much to read, ms, is taken for busy and not for failed.
-	 * Whoever takes a long prompt elsewhere then has it read a second time, by engines
-	 * that are as busy: in one overload of 12 s, 20 of 46 long prompts were begun anew
-	 * and none of these came in time.
+	 * An endpoint with at least this much prompt left to prefill, ms, counts as busy and
+	 * not as failed. Moving a long prompt to another endpoint makes engines that are as
+	 * busy prefill it a second time: in one overload of 12 s, 20 of 46 long prompts were
+	 * restarted and none of these finished in time.
 	 */
-	private static final double BUSY_MILLIS = 200;
+	private static final double BUSY_PREFILL_MILLIS = 200;
 
-	/** How often a busy endpoint is given more time; it may have lost the request. */
-	private static final int MOST_LONGER = 2;
+	/**
+	 * How often the timeout of a busy endpoint is extended. It is bounded because the
+	 * endpoint may have lost the request.
+	 */
+	private static final int MAX_EXTENSIONS = 2;
 
 	private static final double NANOS_PER_MILLI = 1_000_000;
 
@@ -66,23 +81,23 @@
 
 	private final EventSplitter splitter = new EventSplitter();
 
-	private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
+	private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
 	private BackendClient.BackendExchange exchange;
 
 	private PlacedWork work;
 
-	private MemoryHolds.Group group;
+	private MemoryHolds.Group holdGroup;
 
 	private BackendHead head;
 
-	private boolean over;
+	private boolean closed;
 
-	private boolean reached;
+	private boolean dispatched;
 
 	private long sentAt;
 
-	private int longer;
+	private int extensions;
 
 	private Cancellable silenceTimer = () -> {
 	};
@@ -95,39 +110,39 @@
 	}
 
 	/**
-	 * Sends the request, after the memory that it needs elsewhere is held.
-	 * @param outgoing makes the request as the endpoint gets it
+	 * Sends the request, once the memory that it needs on helper engines is held.
+	 * @param outgoing creates the request to send, given its helpers
 	 */
 	void send(Function<List<Helper>, OutgoingRequest> outgoing) {
 		this.work = PlacedWork.begin(this.ports.loads(), this.placement, this.request.route(),
 				this.request.promptTokens() + this.request.outputTokens());
 		if (this.placement.holds().isEmpty()) {
-			sendNow(outgoing.apply(helpers(null)));
+			dispatch(outgoing.apply(helpers(null)));
 			return;
 		}
-		this.group = this.ports.holds().reserve(this.placement.holds(), this.request.id(), (complete) -> {
-			if (this.over) {
+		this.holdGroup = this.ports.holds().reserve(this.placement.holds(), this.request.id(), (held) -> {
+			if (this.closed) {
 				return;
 			}
-			if (!complete) {
+			if (!held) {
 				close();
 				this.request.notSent("memory", "no memory free for engine " + this.target.id());
 			}
 			else if (!this.ports.notices().takes(this.target)) {
 				close();
-				this.request.notSent("closed", "engine " + this.target.id() + " leaves or rests");
+				this.request.notSent("closed", "engine " + this.target.id() + " is leaving or asked for back-off");
 			}
 			else {
-				sendNow(outgoing.apply(helpers(this.group.id())));
+				dispatch(outgoing.apply(helpers(this.holdGroup.id())));
 			}
 		});
 	}
 
-	private void sendNow(OutgoingRequest outgoing) {
-		this.reached = true;
+	private void dispatch(OutgoingRequest outgoing) {
+		this.dispatched = true;
 		this.sentAt = this.ports.scheduler().nanos();
 		this.exchange = this.ports.client().send(this.target, outgoing, this);
-		watchSilence(firstLimit());
+		restartSilenceTimer(firstEventTimeout());
 	}
 
 	private List<Helper> helpers(String hold) {
@@ -142,11 +157,11 @@
 	}
 
 	/**
-	 * The engine because of which the target refused.
-	 * @param head the target's answer
-	 * @return one of the helpers if the answer names its address, else the target
+	 * Returns the engine that caused the target's refusal.
+	 * @param head the head of the target's response
+	 * @return the helper whose address the response names, or else the target
 	 */
-	EndpointStart atFault(BackendHead head) {
+	EndpointStart endpointAtFault(BackendHead head) {
 		return this.placement.helpers()
 			.stream()
 			.filter((helper) -> head.atFault().filter(helper.address().toString()::equals).isPresent())
@@ -160,18 +175,18 @@
 	}
 
 	/**
-	 * Whether the endpoint may work on the request.
-	 * @return true while no answer and no failure says otherwise
+	 * Whether the endpoint may be working on the request.
+	 * @return true from dispatch until a response or failure shows otherwise
 	 */
-	boolean mayRun() {
-		return !this.over && this.reached;
+	boolean mayBeRunning() {
+		return !this.closed && this.dispatched;
 	}
 
-	void reading(boolean on) {
-		if (!this.over && this.exchange != null) {
+	void setReading(boolean on) {
+		if (!this.closed && this.exchange != null) {
 			this.exchange.reading(on);
 			if (on) {
-				watchSilence(pauseLimit());
+				restartSilenceTimer(silenceTimeout());
 			}
 			else {
 				this.silenceTimer.cancel();
@@ -180,7 +195,7 @@
 	}
 
 	void cancel() {
-		if (!this.over) {
+		if (!this.closed) {
 			close();
 			if (this.exchange != null) {
 				this.exchange.cancel();
@@ -190,11 +205,12 @@
 
 	@Override
 	public void head(BackendHead head) {
-		if (!this.over) {
+		if (!this.closed) {
 			this.head = head;
-			this.request.noticed(this.target, head.notice());
+			this.request.noticeReceived(this.target, head.notice());
 			if (head.genuine() && !head.notRun()) {
-				// A refusal may come from the next endpoint at the target's address.
+				// A refusal may come from a later endpoint at the target's address, so it
+				// doesn't count as a response of the target.
 				this.request.gate().answered(this.target.start(), this.sentAt);
 				this.ports.limits().answered(this.target.start(), head.notice().perSecond(), this.sentAt);
 			}
@@ -203,124 +219,126 @@
 
 	@Override
 	public void data(byte[] data) {
-		if (this.over) {
+		if (this.closed) {
 			return;
 		}
-		if (!streams()) {
-			takeWhole(data);
+		if (!isStreamed()) {
+			buffer(data);
 			return;
 		}
-		List<EventSplitter.Event> events = this.splitter.take(data);
+		List<EventSplitter.Event> events = this.splitter.append(data);
 		if (!events.isEmpty()) {
 			this.work.read();
-			watchSilence(pauseLimit());
+			restartSilenceTimer(silenceTimeout());
 		}
 		for (EventSplitter.Event event : events) {
-			if (!this.over) {
-				this.request.event(this, this.head, event);
+			if (!this.closed) {
+				this.request.eventReceived(this, this.head, event);
 			}
 		}
 	}
 
 	@Override
 	public void complete() {
-		if (this.over) {
+		if (this.closed) {
 			return;
 		}
 		close();
-		if (streams()) {
-			this.request.streamComplete(this, this.head, this.splitter.rest());
+		if (isStreamed()) {
+			this.request.streamCompleted(this, this.head, this.splitter.remainder());
 		}
 		else {
-			this.request.answered(this, this.head, this.whole.toByteArray());
+			this.request.responseReceived(this, this.head, this.body.toByteArray());
 		}
 	}
 
 	@Override
 	public void failed(boolean sent, String cause) {
-		if (!this.over) {
+		if (!this.closed) {
 			close();
 			this.request.attemptFailed(this, sent, cause);
 		}
 	}
 
 	/**
-	 * Whether the answer is passed on event by event. An answer that doesn't look like
-	 * the endpoint's own is kept until its end, and then dropped.
-	 * @return true if it is
+	 * Whether the response is relayed event by event. A response that doesn't appear to
+	 * come from the endpoint itself is buffered to its end and then dropped.
+	 * @return true if it is relayed event by event
 	 */
-	private boolean streams() {
+	private boolean isStreamed() {
 		return this.head != null && this.head.events() && this.head.success() && this.head.genuine();
 	}
 
-	private void takeWhole(byte[] data) {
-		this.whole.write(data, 0, data.length);
-		if (this.whole.size() > LARGEST_WHOLE) {
+	private void buffer(byte[] data) {
+		this.body.write(data, 0, data.length);
+		if (this.body.size() > MAX_BUFFERED_BYTES) {
 			close();
 			this.exchange.cancel();
-			this.request.attemptFailed(this, true, "answer larger than " + LARGEST_WHOLE + " bytes");
+			this.request.attemptFailed(this, true, "response larger than " + MAX_BUFFERED_BYTES + " bytes");
 		}
 	}
 
 	/**
-	 * How long a first event or an answer may take. Longer than that, an endpoint is more
-	 * likely to have lost the request than to be slow, and a second endpoint can still
-	 * answer before the caller leaves.
-	 * @return the time
+	 * Returns the timeout of a first event or of a complete response. After this time the
+	 * endpoint is more likely to have lost the request than to be slow, and a second
+	 * endpoint can still respond before the caller gives up.
+	 * @return the timeout
 	 */
-	private Duration firstLimit() {
+	private Duration firstEventTimeout() {
 		Route route = this.request.route();
-		double predicted = 2 * this.placement.firstMillis() + FIRST_SLACK.toMillis();
+		double predicted = 2 * this.placement.firstMillis() + FIRST_EVENT_SLACK.toMillis();
 		double target = 2 * route.targetLatency().toMillis() + TARGET_SLACK.toMillis();
-		double most = PATIENCE_USED * route.patience().toMillis();
+		double limit = PATIENCE_FRACTION * route.patience().toMillis();
 		if (!route.streaming()) {
-			most = TIME_USED * this.request.left().toMillis();
+			limit = TIME_LEFT_FRACTION * this.request.timeLeft().toMillis();
 		}
-		return Duration.ofNanos((long) (Math.min(Math.max(predicted, target), most) * NANOS_PER_MILLI));
+		return Duration.ofNanos((long) (Math.min(Math.max(predicted, target), limit) * NANOS_PER_MILLI));
 	}
 
-	private Duration pauseLimit() {
+	private Duration silenceTimeout() {
 		Route route = this.request.route();
-		long pauses = Math.max(LEAST_SILENCE.toMillis(), MOST_PAUSES * route.longestPause().toMillis());
-		return Duration.ofMillis((long) Math.min(pauses, PATIENCE_USED * route.patience().toMillis()));
+		long longestSilence = Math.max(MIN_SILENCE_TIMEOUT.toMillis(),
+				MAX_PAUSE_MULTIPLE * route.longestPause().toMillis());
+		return Duration.ofMillis((long) Math.min(longestSilence, PATIENCE_FRACTION * route.patience().toMillis()));
 	}
 
-	private void watchSilence(Duration limit) {
-		this.longer = 0;
-		watch(limit);
+	private void restartSilenceTimer(Duration limit) {
+		this.extensions = 0;
+		scheduleSilenceTimer(limit);
 	}
 
-	private void watch(Duration limit) {
+	private void scheduleSilenceTimer(Duration limit) {
 		this.silenceTimer.cancel();
-		if (!this.over && this.request.route().repeatable()) {
+		if (!this.closed && this.request.route().repeatable()) {
 			this.silenceTimer = this.ports.scheduler().schedule(limit, () -> {
-				if (!this.over) {
-					silentFor(limit);
+				if (!this.closed) {
+					silenceTimedOut(limit);
 				}
 			});
 		}
 	}
 
 	/**
-	 * Takes the target for failed, or gives it more time if it is only busy. A prompt
-	 * that one engine reads costs little when it is read again, and an engine that makes
-	 * it wait is the wrong one for it.
-	 * @param limit how long it was silent
+	 * Treats the target as failed, or extends the timeout if the target is only busy.
+	 * There is no extension for a prompt that a single engine prefills: prefilling it
+	 * again costs little, and an engine that keeps it waiting is the wrong choice for it.
+	 * @param silence the length of the silence
 	 */
-	private void silentFor(Duration limit) {
-		double unread = this.ports.loads().load(this.target.start()).readMillis();
-		if (this.placement.helpers().isEmpty() || unread < BUSY_MILLIS || this.longer == MOST_LONGER) {
-			this.request.silent(this);
+	private void silenceTimedOut(Duration silence) {
+		double remainingPrefill = this.ports.loads().load(this.target.start()).readMillis();
+		if (this.placement.helpers().isEmpty() || remainingPrefill < BUSY_PREFILL_MILLIS
+				|| this.extensions == MAX_EXTENSIONS) {
+			this.request.attemptTimedOut(this);
 			return;
 		}
-		this.longer++;
-		watch(Duration.ofMillis(Math.round(Math.min(2 * unread, limit.toMillis()))));
+		this.extensions++;
+		scheduleSilenceTimer(Duration.ofMillis(Math.round(Math.min(2 * remainingPrefill, silence.toMillis()))));
 	}
 
 	private void close() {
-		this.over = true;
-		if (this.group != null) {
-			this.group.release();
+		this.closed = true;
+		if (this.holdGroup != null) {
+			this.holdGroup.release();
 		}
 		this.silenceTimer.cancel();
 		if (this.work != null) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/BackendClient.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/BackendClient.java
@@ -12,26 +12,26 @@
 
 	/**
 	 * Sends a request.
-	 * @param to the endpoint; any other one at its address must refuse the request
+	 * @param to the endpoint; any other endpoint at its address must refuse the request
 	 * @param request the request
-	 * @param listener hears what becomes of it
+	 * @param listener receives the response or the failure
 	 * @return the exchange
 	 */
 	BackendExchange send(Backend to, OutgoingRequest request, BackendListener listener);
 
 	/**
-	 * A request under way at an endpoint.
+	 * A request in progress at an endpoint.
 	 */
 	interface BackendExchange {
 
 		/**
-		 * Ends it, closing its connection so that the endpoint drops the request; the
-		 * listener hears nothing more.
+		 * Cancels the exchange and closes its connection, so that the endpoint drops the
+		 * request. The listener isn't called any more.
 		 */
 		void cancel();
 
 		/**
-		 * Sets whether the answer is read on.
+		 * Sets whether to read the response.
 		 * @param on false while the caller doesn't read
 		 */
 		void reading(boolean on);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/BackendListener.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/BackendListener.java
@@ -1,35 +1,36 @@
 package org.bramleyscale.internal.gateway.request;
 
 /**
- * Hears what becomes of a request sent to an endpoint.
+ * Receives the response to a request sent to an endpoint, or its failure.
  *
  * <p>
- * Called on the scheduler's thread, never within the call that sends. Exactly one of
- * {@link #complete} and {@link #failed} comes last, unless the exchange was cancelled.
+ * Called on the scheduler's thread, never within the call that sends the request. Exactly
+ * one of {@link #complete} and {@link #failed} is called last, unless the exchange was
+ * cancelled.
  */
 public interface BackendListener {
 
 	/**
-	 * The head of the endpoint's answer to this very request.
+	 * Called with the head of the endpoint's response to this request.
 	 * @param head the head
 	 */
 	void head(BackendHead head);
 
 	/**
-	 * A piece of the answer's body.
+	 * Called with a part of the response body.
 	 * @param data the bytes
 	 */
 	void data(byte[] data);
 
 	/**
-	 * The answer is complete by its own framing.
+	 * Called when the response is complete according to its own framing.
 	 */
 	void complete();
 
 	/**
-	 * There will be no (further) answer.
-	 * @param sent true if the endpoint may have got the request
-	 * @param cause what happened
+	 * Called when there is no response, or no more of it.
+	 * @param sent true if the endpoint may have received the request
+	 * @param cause the cause of the failure
 	 */
 	void failed(boolean sent, String cause);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/CallerReply.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/CallerReply.java
@@ -4,16 +4,16 @@
 import java.util.List;
 
 /**
- * The way back to a caller: exactly one answer, whole or as a stream.
+ * The response to a caller: exactly one, sent whole or as a stream.
  *
  * <p>
- * Confined to the scheduler's thread. Calls after the answer's end, or after the caller
- * has gone, do nothing.
+ * Confined to the scheduler's thread. Calls after the end of the response, or after the
+ * caller has disconnected, have no effect.
  */
 public interface CallerReply {
 
 	/**
-	 * Passes on an endpoint's whole answer.
+	 * Relays an endpoint's complete response.
 	 * @param status its status
 	 * @param headers its end-to-end headers
 	 * @param body its body
@@ -21,40 +21,40 @@
 	void whole(int status, List<Header> headers, byte[] body);
 
 	/**
-	 * Sends an answer of the daemon's own.
+	 * Sends a response that the daemon itself produces.
 	 * @param status the status
-	 * @param reason why, for the caller's log
-	 * @param retryAfter when to come back; zero or negative for no word of it
+	 * @param reason the reason, for the caller's log
+	 * @param retryAfter when the caller should retry; not sent if zero or negative
 	 */
 	void own(int status, String reason, Duration retryAfter);
 
 	/**
-	 * Begins a stream.
+	 * Starts a streamed response.
 	 * @param status the endpoint's status
 	 * @param headers its end-to-end headers
 	 */
 	void begin(int status, List<Header> headers);
 
 	/**
-	 * Sends a piece of the stream at once.
+	 * Sends a part of the stream without delay.
 	 * @param data the bytes
 	 * @return false while the caller doesn't read
 	 */
 	boolean write(byte[] data);
 
 	/**
-	 * Sets what to run when a caller that didn't read reads again.
+	 * Sets the task to run when the caller reads again after it had stopped reading.
 	 * @param task the task
 	 */
 	void onReadsAgain(Runnable task);
 
 	/**
-	 * Ends the stream as complete.
+	 * Completes the stream.
 	 */
 	void end();
 
 	/**
-	 * Breaks the stream off so that it can't look complete.
+	 * Aborts the stream in such a way that it can't be taken for complete.
 	 */
 	void abort();
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/CallerRequests.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/CallerRequestHandler.java
@@ -1,18 +1,18 @@
 package org.bramleyscale.internal.gateway.request;
 
 /**
- * Takes callers' requests.
+ * Handles callers' requests.
  *
  * <p>
  * Confined to the scheduler's thread.
  */
-public interface CallerRequests {
+public interface CallerRequestHandler {
 
 	/**
-	 * Takes a request.
+	 * Handles a request.
 	 * @param request the request
-	 * @param reply the way back to the caller, used once
-	 * @return what to run when the caller has gone
+	 * @param reply the response to the caller, used once
+	 * @return the task to run when the caller disconnects
 	 */
 	Runnable take(CallerRequest request, CallerReply reply);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/EventSplitter.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/EventSplitter.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * Cuts a stream of events into whole events.
+ * Splits a byte stream into complete events.
  *
  * <p>
- * An endpoint may die in the middle of an event. If the half were passed on, the stream
- * could not go on elsewhere without joining pieces of two runs. So only whole events
- * leave the splitter. Not safe for use by multiple threads.
+ * An endpoint may crash in the middle of an event. If the partial event were relayed,
+ * resuming the stream on another endpoint would join fragments of two runs, so only
+ * complete events are returned. Not safe for use by multiple threads.
  */
 final class EventSplitter {
 
@@ -20,49 +20,49 @@
 	private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
 
 	/**
-	 * Takes bytes.
+	 * Appends bytes.
 	 * @param data the bytes
 	 * @return the events that they complete
 	 */
-	List<Event> take(byte[] data) {
+	List<Event> append(byte[] data) {
 		this.pending.write(data, 0, data.length);
-		byte[] all = this.pending.toByteArray();
+		byte[] buffered = this.pending.toByteArray();
 		List<Event> events = new ArrayList<>();
-		int begin = 0;
-		for (int end = endOfEvent(all, begin); end >= 0; end = endOfEvent(all, begin)) {
-			byte[] event = new byte[end - begin];
-			System.arraycopy(all, begin, event, 0, event.length);
+		int start = 0;
+		for (int end = endOfEvent(buffered, start); end >= 0; end = endOfEvent(buffered, start)) {
+			byte[] event = new byte[end - start];
+			System.arraycopy(buffered, start, event, 0, event.length);
 			events.add(new Event(id(event), event));
-			begin = end;
+			start = end;
 		}
 		this.pending.reset();
-		this.pending.write(all, begin, all.length - begin);
+		this.pending.write(buffered, start, buffered.length - start);
 		return events;
 	}
 
 	/**
-	 * The bytes after the last whole event.
+	 * Returns the bytes after the last complete event.
 	 * @return the bytes, possibly none
 	 */
-	byte[] rest() {
+	byte[] remainder() {
 		return this.pending.toByteArray();
 	}
 
 	/**
 	 * Finds the empty line that ends an event.
 	 * @param bytes the bytes
-	 * @param from where the event begins
-	 * @return the position after the empty line, or -1 if it isn't there yet
+	 * @param from the start of the event
+	 * @return the position after the empty line, or -1 if it hasn't arrived yet
 	 */
 	private static int endOfEvent(byte[] bytes, int from) {
-		int lineBegin = from;
+		int lineStart = from;
 		for (int i = from; i < bytes.length; i++) {
 			if (bytes[i] == '\n') {
-				boolean empty = i == lineBegin || (i == lineBegin + 1 && bytes[lineBegin] == '\r');
+				boolean empty = i == lineStart || (i == lineStart + 1 && bytes[lineStart] == '\r');
 				if (empty) {
 					return i + 1;
 				}
-				lineBegin = i + 1;
+				lineStart = i + 1;
 			}
 		}
 		return -1;
@@ -78,16 +78,16 @@
 	}
 
 	/**
-	 * One whole event.
+	 * A complete event.
 	 *
 	 * @param id its id, or null if it has none
-	 * @param bytes its bytes, with the empty line that ends it
+	 * @param bytes its bytes, including the empty line that ends it
 	 */
 	record Event(String id, byte[] bytes) {
 
 		/**
-		 * Whether the event comes after another one.
-		 * @param lastId the other's id, or null
+		 * Whether this event comes after another one.
+		 * @param lastId the other event's id, or null
 		 * @return false if both ids are numbers and this one is not greater
 		 */
 		boolean isAfter(String lastId) {
@@ -95,7 +95,8 @@
 				return lastId == null || this.id == null || Long.parseLong(this.id) > Long.parseLong(lastId);
 			}
 			catch (NumberFormatException ex) {
-				// Ids that are no numbers can't be compared; the endpoint is trusted.
+				// Ids that aren't numbers can't be compared; the endpoint's order is
+				// trusted.
 				return true;
 			}
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/GatewayMetrics.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/GatewayMetrics.java
@@ -7,17 +7,19 @@
 import com.codahale.metrics.Timer;
 
 /**
- * Counts requests and measures their times.
+ * Records the outcomes and durations of requests.
  *
  * <p>
  * Safe for use by multiple threads.
  */
 public final class GatewayMetrics {
 
-	/** Samples kept by a histogram: 1 % of error at p95, 8 KB of memory. */
-	private static final int SAMPLES = 512;
+	/**
+	 * Number of samples that a histogram keeps: an error of 1 % at p95, 8 KB of memory.
+	 */
+	private static final int RESERVOIR_SIZE = 512;
 
-	private static final double RECENT = 0.015;
+	private static final double DECAY_ALPHA = 0.015;
 
 	private final MetricRegistry registry;
 
@@ -29,33 +31,34 @@
 	 * Counts how a request ended.
 	 * @param outcome for instance {@code completed} or {@code refused}
 	 */
-	void ended(String outcome) {
+	void requestEnded(String outcome) {
 		this.registry.counter("gateway.requests." + outcome).inc();
 	}
 
-	void again(String cause) {
+	void requestResent(String cause) {
 		this.registry.counter("gateway.sent-again." + cause).inc();
 	}
 
 	/**
-	 * Measures for how long a long prompt was kept before it was sent.
-	 * @param nanos the time
+	 * Records how long a long prompt was deferred before it was sent.
+	 * @param nanos the duration
 	 */
-	void kept(long nanos) {
+	void recordDeferral(long nanos) {
 		timer("gateway.kept").update(nanos, TimeUnit.NANOSECONDS);
 	}
 
-	void firstEvent(boolean longPrompt, long nanos) {
+	void recordFirstEvent(boolean longPrompt, long nanos) {
 		timer(longPrompt ? "gateway.first-event.long" : "gateway.first-event.short").update(nanos,
 				TimeUnit.NANOSECONDS);
 	}
 
-	void answered(long nanos) {
+	void recordResponse(long nanos) {
 		timer("gateway.answer").update(nanos, TimeUnit.NANOSECONDS);
 	}
 
 	private Timer timer(String name) {
-		return this.registry.timer(name, () -> new Timer(new ExponentiallyDecayingReservoir(SAMPLES, RECENT)));
+		return this.registry.timer(name,
+				() -> new Timer(new ExponentiallyDecayingReservoir(RESERVOIR_SIZE, DECAY_ALPHA)));
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/GatewayPorts.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/GatewayPorts.java
@@ -14,26 +14,26 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * What relayed requests use of the daemon.
+ * The parts of the daemon that relayed requests depend on.
  *
- * @param scheduler its thread and clock
- * @param dataCentre where it runs
+ * @param scheduler the daemon's thread and clock
+ * @param dataCentre the daemon's data centre
  * @param client sends requests to endpoints
- * @param placement decides where they go
- * @param notices takes what endpoints say of themselves
- * @param health learns from outcomes
- * @param loads learns what is under way
- * @param demands learns what is asked for
- * @param retries bounds what is sent again
- * @param limits knows which endpoints may get a request now
- * @param crashes knows which requests end endpoints
- * @param holds sets memory aside on engines
- * @param longSent called after a long prompt was sent
- * @param log takes each decision
- * @param metrics counts outcomes
+ * @param placement chooses the endpoint of each request
+ * @param notices processes what endpoints report about themselves
+ * @param health records the outcomes of requests to endpoints
+ * @param loads records the work in progress at endpoints
+ * @param demands records the demand for each service
+ * @param retries limits retries
+ * @param limits decides which endpoints may receive a request now
+ * @param crashes identifies requests that crash endpoints
+ * @param holds reserves memory on engines
+ * @param onLongPromptSent called after a long prompt was sent
+ * @param log records each decision
+ * @param metrics records outcomes and durations
  */
 public record GatewayPorts(Scheduler scheduler, DataCentre dataCentre, BackendClient client, PlacementPolicy placement,
 		EndpointNotices notices, BackendHealth health, LoadBoard loads, DemandBoard demands, RetryWindow retries,
-		EndpointLimits limits, CrashGuard crashes, MemoryHolds holds, Runnable longSent, DecisionLog log,
+		EndpointLimits limits, CrashGuard crashes, MemoryHolds holds, Runnable onLongPromptSent, DecisionLog log,
 		GatewayMetrics metrics) {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/GatewayService.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/GatewayService.java
@@ -16,19 +16,21 @@
 import org.bramleyscale.internal.gateway.catalog.ServiceShare;
 
 /**
- * Takes callers' requests: finds route, account and service, and starts their lives.
+ * Handles callers' requests: resolves route, account and service, and starts relaying.
  *
  * <p>
- * Invariant: a daemon that knows no catalog yet refuses with "not run" and never says
- * that a route or key doesn't exist. Confined to the scheduler's thread.
+ * Invariant: a daemon that doesn't have a catalog yet refuses requests as not run and
+ * never reports a route or key as unknown. Confined to the scheduler's thread.
  */
-public final class GatewayService implements CallerRequests {
+public final class GatewayService implements CallerRequestHandler {
 
-	/** Another daemon can be asked at once; zero would mean that nothing is said. */
-	private static final Duration LEAVING_PAUSE = Duration.ofMillis(10);
+	/**
+	 * Another daemon can be tried at once; with zero, no retry time would be sent at all.
+	 */
+	private static final Duration LEAVING_RETRY_AFTER = Duration.ofMillis(10);
 
-	/** A daemon that starts knows the catalog within a second. */
-	private static final Duration NO_CATALOG_PAUSE = Duration.ofMillis(500);
+	/** A daemon obtains the catalog within a second of its start. */
+	private static final Duration NO_CATALOG_RETRY_AFTER = Duration.ofMillis(500);
 
 	private static final int UNAUTHORIZED = 401;
 
@@ -42,23 +44,23 @@
 
 	private final RandomGenerator random;
 
-	private final Predicate<Duration> takes;
+	private final Predicate<Duration> admits;
 
-	private final Set<RelayedRequest> running = new HashSet<>();
+	private final Set<RelayedRequest> activeRequests = new HashSet<>();
 
 	/**
-	 * Makes the service.
-	 * @param ports what requests use
+	 * Creates the service.
+	 * @param ports the dependencies of requests
 	 * @param catalogs the catalog in force
-	 * @param takes whether a request with so much time is taken; false for some while the
-	 * daemon leaves
+	 * @param admits whether to accept a request with the given time left; false for long
+	 * ones while the daemon is leaving
 	 * @param random chooses among a route's services
 	 */
-	public GatewayService(GatewayPorts ports, CatalogHolder catalogs, Predicate<Duration> takes,
+	public GatewayService(GatewayPorts ports, CatalogHolder catalogs, Predicate<Duration> admits,
 			RandomGenerator random) {
 		this.ports = ports;
 		this.catalogs = catalogs;
-		this.takes = takes;
+		this.admits = admits;
 		this.random = random;
 	}
 
@@ -66,7 +68,7 @@
 	public Runnable take(CallerRequest request, CallerReply reply) {
 		Catalog catalog = this.catalogs.current().orElse(null);
 		if (catalog == null) {
-			return refuse(request, reply, UNAVAILABLE, "no configuration yet", NO_CATALOG_PAUSE, 0);
+			return refuse(request, reply, UNAVAILABLE, "no configuration yet", NO_CATALOG_RETRY_AFTER, 0);
 		}
 		Optional<Route> route = catalog.route(request.host(), request.path());
 		if (route.isEmpty()) {
@@ -76,42 +78,43 @@
 		if (account.isEmpty() && catalog.keysNeeded() && !route.get().keyless()) {
 			return refuse(request, reply, UNAUTHORIZED, "unknown key", Duration.ZERO, catalog.version());
 		}
-		if (!this.takes.test(request.timeWithin(route.get().timeout()))) {
-			return refuse(request, reply, UNAVAILABLE, "daemon leaves", LEAVING_PAUSE, catalog.version());
+		if (!this.admits.test(request.timeWithin(route.get().timeout()))) {
+			return refuse(request, reply, UNAVAILABLE, "daemon leaves", LEAVING_RETRY_AFTER, catalog.version());
 		}
-		Service service = service(catalog, route.get());
+		Service service = chooseService(catalog, route.get());
 		RelayedRequest relayed = new RelayedRequest(this.ports, request, reply,
-				new Allowed(route.get(), service, account, catalog.version()), this.running::remove);
-		this.running.add(relayed);
+				new ResolvedRoute(route.get(), service, account, catalog.version()), this.activeRequests::remove);
+		this.activeRequests.add(relayed);
 		relayed.start();
-		return relayed::callerGone;
+		return relayed::callerDisconnected;
 	}
 
 	/**
-	 * How many requests haven't ended.
+	 * Returns the number of requests that haven't ended.
 	 * @return the number
 	 */
 	public int unfinished() {
-		return this.running.size();
+		return this.activeRequests.size();
 	}
 
 	/**
 	 * Chooses one of a route's services by weight.
 	 * @param catalog the catalog
 	 * @param route the route
-	 * @return the service; one that the catalog doesn't describe counts as plain
+	 * @return the service; one that the catalog doesn't describe counts as a service
+	 * without engines
 	 */
-	private Service service(Catalog catalog, Route route) {
+	private Service chooseService(Catalog catalog, Route route) {
 		List<ServiceShare> shares = route.services();
-		int sum = shares.stream().mapToInt(ServiceShare::weight).sum();
-		int point = (sum > 0) ? this.random.nextInt(sum) : 0;
+		int totalWeight = shares.stream().mapToInt(ServiceShare::weight).sum();
+		int position = (totalWeight > 0) ? this.random.nextInt(totalWeight) : 0;
 		ServiceShare chosen = shares.get(0);
 		for (ServiceShare share : shares) {
-			if (point < share.weight()) {
+			if (position < share.weight()) {
 				chosen = share;
 				break;
 			}
-			point -= share.weight();
+			position -= share.weight();
 		}
 		ServiceShare share = chosen;
 		return catalog.service(share.service()).orElseGet(() -> new Service(share.service(), 1, Optional.empty()));
@@ -122,7 +125,7 @@
 		this.ports.log()
 			.request(request.id(), "refused", "status", status, "reason", reason, "catalog", version, "host",
 					request.host(), "path", request.path());
-		this.ports.metrics().ended("refused");
+		this.ports.metrics().requestEnded("refused");
 		reply.own(status, reason, retryAfter);
 		return () -> {
 		};
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/Helper.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/Helper.java
@@ -5,7 +5,7 @@
 import org.bramleyscale.internal.gateway.backend.Backend;
 
 /**
- * An engine that reads a part of another engine's prompt.
+ * An engine that prefills a part of another engine's prompt.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/OutgoingRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/OutgoingRequest.java
@@ -12,14 +12,14 @@
  * <p>
  * Immutable and safe for use by multiple threads.
  *
- * @param original the caller's request, whose method, target, headers and body pass
- * unchanged
- * @param account the account that holds the caller's key
+ * @param original the caller's request, whose method, target, headers and body are
+ * relayed unchanged
+ * @param account the account that the caller's key belongs to
  * @param timeLeft how long the endpoint may work
- * @param lastEventId the event after which the stream goes on
- * @param helpers engines that read parts of the prompt
- * @param priority 0 for the most urgent to 9
- * @param freshConnection true if it needs a connection that no request has used
+ * @param lastEventId the event after which the stream resumes
+ * @param helpers engines that prefill parts of the prompt
+ * @param priority from 0, the most urgent, to 9
+ * @param freshConnection true if it needs a connection that hasn't carried a request
  */
 public record OutgoingRequest(CallerRequest original, Optional<ClientAccountId> account, Duration timeLeft,
 		Optional<String> lastEventId, List<Helper> helpers, int priority, boolean freshConnection) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/RelayedRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/RelayedRequest.java
@@ -16,14 +16,14 @@
 import org.bramleyscale.internal.time.Cancellable;
 
 /**
- * One relayed request from its arrival to its only answer.
+ * One relayed request from its arrival to its single response.
  *
  * <p>
- * Invariants: the caller gets exactly one final answer, or its connection is broken off;
- * a request that may run at most once is sent again only after an endpoint has vouched
- * that it didn't run it, or if it was never sent; "not run" is said only then too; a
- * stream that goes on at another endpoint does so after its last whole event. Confined to
- * the scheduler's thread.
+ * Invariants: the caller gets exactly one final response, or its connection is aborted; a
+ * request that may run at most once is resent only if it was never sent or if the
+ * endpoint guarantees that it didn't run it; "not run" is reported only under the same
+ * conditions; a stream that moves to another endpoint resumes after its last complete
+ * event. Confined to the scheduler's thread.
  */
 final class RelayedRequest {
 
@@ -33,11 +33,11 @@
 
 	private static final int GATEWAY_TIMEOUT = 504;
 
-	/** When an endpoint refused: its queue is shorter by then. */
-	private static final Duration REFUSED_PAUSE = Duration.ofMillis(300);
+	/** Sent after an endpoint's refusal: by then its queue is expected to be shorter. */
+	private static final Duration REFUSED_RETRY_AFTER = Duration.ofMillis(300);
 
-	/** A request isn't sent when less time than this is left for it. */
-	private static final Duration LEAST_LEFT = Duration.ofMillis(15);
+	/** A request with less time left than this isn't sent. */
+	private static final Duration MIN_TIME_LEFT = Duration.ofMillis(15);
 
 	private final GatewayPorts ports;
 
@@ -45,252 +45,252 @@
 
 	private final CallerReply reply;
 
-	private final Allowed allowed;
+	private final ResolvedRoute resolved;
 
-	private final Consumer<RelayedRequest> ended;
+	private final Consumer<RelayedRequest> onEnd;
 
-	private final long arrived;
+	private final long arrivedAt;
 
-	private final long endsAt;
+	private final long deadline;
 
 	private final boolean longPrompt;
 
-	private final KeptPrompt kept;
+	private final DeferredRequest deferral;
 
 	private final SendGate gate;
 
-	private final RequestLines lines;
+	private final RequestLog log;
 
-	private final Tries tries;
+	private final RetryState retryState;
 
-	private boolean begun;
+	private boolean responseStarted;
 
-	private boolean over;
+	private boolean finished;
 
 	private String lastEventId;
 
 	private Attempt attempt;
 
-	private Cancellable endTimer = () -> {
+	private Cancellable deadlineTimer = () -> {
 	};
 
-	RelayedRequest(GatewayPorts ports, CallerRequest request, CallerReply reply, Allowed allowed,
-			Consumer<RelayedRequest> ended) {
+	RelayedRequest(GatewayPorts ports, CallerRequest request, CallerReply reply, ResolvedRoute resolved,
+			Consumer<RelayedRequest> onEnd) {
 		this.ports = ports;
 		this.request = request;
 		this.reply = reply;
-		this.allowed = allowed;
-		this.ended = ended;
-		this.arrived = ports.scheduler().nanos();
-		this.endsAt = this.arrived + request.timeWithin(allowed.route().timeout()).toNanos();
-		this.longPrompt = allowed.isLong(request.promptTokens());
-		this.tries = new Tries(ports.retries(), allowed);
+		this.resolved = resolved;
+		this.onEnd = onEnd;
+		this.arrivedAt = ports.scheduler().nanos();
+		this.deadline = this.arrivedAt + request.timeWithin(resolved.route().timeout()).toNanos();
+		this.longPrompt = resolved.isLong(request.promptTokens());
+		this.retryState = new RetryState(ports.retries(), resolved);
 		this.lastEventId = request.lastEventId().orElse(null);
-		this.kept = new KeptPrompt(ports, request.id(), allowed.service().name(),
-				allowed.readMillis(request.promptTokens()));
-		RequestDigest digest = allowed.digest(request);
-		this.lines = new RequestLines(ports.log(), request, digest);
+		this.deferral = new DeferredRequest(ports, request.id(), resolved.service().name(),
+				resolved.prefillMillis(request.promptTokens()));
+		RequestDigest digest = resolved.digest(request);
+		this.log = new RequestLog(ports.log(), request, digest);
 		this.gate = new SendGate(ports.scheduler(), ports.crashes(), digest,
 				(reason, retryAfter) -> giveUp(UNAVAILABLE, reason, retryAfter));
 	}
 
 	void start() {
-		Service service = this.allowed.service();
+		Service service = this.resolved.service();
 		this.ports.retries().first(service.name());
 		if (!this.longPrompt) {
 			this.ports.demands().shortBegan(service.name());
 		}
-		this.endTimer = this.ports.scheduler().schedule(left(), this::timeOver);
+		this.deadlineTimer = this.ports.scheduler().schedule(timeLeft(), this::deadlineExceeded);
 		send();
 	}
 
 	/**
-	 * The caller has closed its connection: whatever runs for it is dropped.
+	 * Called when the caller has closed its connection: cancels the attempt in progress.
 	 */
-	void callerGone() {
-		if (!this.over) {
-			finish("caller gone", "left", "ran", ran() ? "unknown" : "no");
+	void callerDisconnected() {
+		if (!this.finished) {
+			finish("caller gone", "left", "ran", mayHaveRun() ? "unknown" : "no");
 		}
 	}
 
 	private void send() {
-		if (left().compareTo(LEAST_LEFT) < 0) {
-			timeOver();
+		if (timeLeft().compareTo(MIN_TIME_LEFT) < 0) {
+			deadlineExceeded();
 			return;
 		}
 		this.gate.pass(this::place);
 	}
 
 	private void place() {
-		Route route = this.allowed.route();
+		Route route = this.resolved.route();
 		Placement placement = this.ports.placement()
-			.place(new PlacementRequest(route, this.allowed.service(), this.request.promptTokens(),
-					this.request.outputTokens(), callerStays(), waited(), this.tries.tried(), this.ports.limits(),
-					this.ports.dataCentre()));
+			.place(new PlacementRequest(route, this.resolved.service(), this.request.promptTokens(),
+					this.request.outputTokens(), callerTimeLeft(), elapsed(), this.retryState.tried(),
+					this.ports.limits(), this.ports.dataCentre()));
 		if (placement.waits()) {
-			this.kept.keep(placement, left(), this::send);
+			this.deferral.defer(placement, timeLeft(), this::send);
 			return;
 		}
-		this.kept.end();
+		this.deferral.end();
 		if (placement.target().isEmpty()) {
 			giveUp(UNAVAILABLE, placement.reason(), placement.retryAfter());
 			return;
 		}
 		Backend target = placement.target().get();
-		this.tries.asks(target.start());
+		this.retryState.recordAttempt(target.start());
 		this.ports.limits().sent(target.start());
-		this.lines.sent(placement, this.tries.asked(), left(), this.allowed.version(), this.lastEventId);
+		this.log.sent(placement, this.retryState.attempts(), timeLeft(), this.resolved.version(), this.lastEventId);
 		this.gate.sent();
 		this.attempt = new Attempt(this, target, placement, this.ports);
-		this.attempt.send((helpers) -> new OutgoingRequest(this.request, this.allowed.account().map(Account::id),
-				left(), Optional.ofNullable(this.lastEventId), helpers, this.allowed.priority(this.longPrompt),
+		this.attempt.send((helpers) -> new OutgoingRequest(this.request, this.resolved.account().map(Account::id),
+				timeLeft(), Optional.ofNullable(this.lastEventId), helpers, this.resolved.priority(this.longPrompt),
 				!route.repeatable()));
 		if (this.longPrompt) {
-			this.ports.longSent().run();
+			this.ports.onLongPromptSent().run();
 		}
 	}
 
-	private Duration waited() {
-		return Duration.ofNanos(this.ports.scheduler().nanos() - this.arrived);
+	private Duration elapsed() {
+		return Duration.ofNanos(this.ports.scheduler().nanos() - this.arrivedAt);
 	}
 
 	/**
-	 * An endpoint says something of itself.
+	 * Called when an endpoint reports something about itself.
 	 * @param endpoint the endpoint
-	 * @param notice what it says
+	 * @param notice its report
 	 */
-	void noticed(Backend endpoint, EndpointNotice notice) {
-		this.lines.noticed(endpoint, notice);
+	void noticeReceived(Backend endpoint, EndpointNotice notice) {
+		this.log.noticeReceived(endpoint, notice);
 		this.ports.notices().heard(endpoint.start(), notice);
 	}
 
-	void answered(Attempt from, BackendHead head, byte[] body) {
+	void responseReceived(Attempt from, BackendHead head, byte[] body) {
 		if (head.genuine() && !head.notRun()) {
-			this.gate.survived();
+			this.gate.endpointSurvived();
 		}
 		if (head.notRun()) {
 			refusedBy(from, head);
 		}
-		else if (head.failure() && this.tries.takeRun(1)) {
-			this.tries.mayHaveRun();
+		else if (head.failure() && this.retryState.acquireRerun(1)) {
+			this.retryState.recordPossibleRun();
 			this.ports.health().failed(from.target().start());
-			again(from, "failed with " + head.status());
+			resend(from, "failed with " + head.status());
 		}
 		else if (head.success() && !head.genuine()) {
-			this.tries.mayHaveRun();
+			this.retryState.recordPossibleRun();
 			this.ports.health().failed(from.target().start());
-			brokenOff(from, "answer without signature");
+			responseInterrupted(from, "answer without signature");
 		}
 		else {
-			this.tries.mayHaveRun();
+			this.retryState.recordPossibleRun();
 			this.ports.health().answered(from.target().start(), head.failure());
 			this.reply.whole(head.status(), head.headers(), body);
-			this.ports.metrics().answered(waited().toNanos());
+			this.ports.metrics().recordResponse(elapsed().toNanos());
 			finish("completed", head.success() ? "completed" : "failed", "status", head.status(), "endpoint",
 					from.target().id());
 		}
 	}
 
 	/**
-	 * A whole event of a stream.
-	 * @param from the attempt that brought it
-	 * @param head the head of that attempt's answer
+	 * Called with a complete event of a stream.
+	 * @param from the attempt that received it
+	 * @param head the head of that attempt's response
 	 * @param event the event
 	 */
-	void event(Attempt from, BackendHead head, EventSplitter.Event event) {
+	void eventReceived(Attempt from, BackendHead head, EventSplitter.Event event) {
 		if (!event.isAfter(this.lastEventId)) {
 			return;
 		}
-		if (!this.begun) {
-			this.begun = true;
-			Duration waited = waited();
-			this.ports.metrics().firstEvent(this.longPrompt, waited.toNanos());
-			this.lines.firstEvent(from.target(), waited, from.predictedMillis());
-			this.reply.onReadsAgain(this::callerReads);
+		if (!this.responseStarted) {
+			this.responseStarted = true;
+			Duration elapsed = elapsed();
+			this.ports.metrics().recordFirstEvent(this.longPrompt, elapsed.toNanos());
+			this.log.firstEvent(from.target(), elapsed, from.predictedMillis());
+			this.reply.onReadsAgain(this::callerWritable);
 			this.reply.begin(head.status(), head.headers());
 		}
 		if (event.id() != null) {
 			this.lastEventId = event.id();
 		}
 		if (!this.reply.write(event.bytes())) {
-			from.reading(false);
+			from.setReading(false);
 		}
 	}
 
-	private void callerReads() {
+	private void callerWritable() {
 		if (this.attempt != null) {
-			this.attempt.reading(true);
+			this.attempt.setReading(true);
 		}
 	}
 
 	/**
-	 * A stream has ended as complete.
-	 * @param from the attempt that brought it
-	 * @param head the head of that attempt's answer
-	 * @param rest bytes after the last whole event
+	 * Called when a stream is complete.
+	 * @param from the attempt that received it
+	 * @param head the head of that attempt's response
+	 * @param rest the bytes after the last complete event
 	 */
-	void streamComplete(Attempt from, BackendHead head, byte[] rest) {
-		this.tries.mayHaveRun();
-		if (!this.begun) {
-			this.begun = true;
+	void streamCompleted(Attempt from, BackendHead head, byte[] rest) {
+		this.retryState.recordPossibleRun();
+		if (!this.responseStarted) {
+			this.responseStarted = true;
 			this.reply.begin(head.status(), head.headers());
 		}
 		if (rest.length > 0) {
 			this.reply.write(rest);
 		}
 		this.ports.health().served(from.target().start());
-		this.gate.survived();
+		this.gate.endpointSurvived();
 		this.reply.end();
 		finish("completed", "completed", "endpoint", from.target().id(), "last_event", this.lastEventId);
 	}
 
 	/**
-	 * An attempt ended without an answer, or in the middle of it.
+	 * Called when an attempt ended without a complete response.
 	 * @param from the attempt
-	 * @param sent whether the endpoint may have got the request
-	 * @param cause what happened
+	 * @param sent whether the endpoint may have received the request
+	 * @param cause the cause of the failure
 	 */
 	void attemptFailed(Attempt from, boolean sent, String cause) {
 		if (!sent) {
 			this.ports.health().unreachable(from.target().start(), cause);
-			this.ports.metrics().again("unreachable");
-			this.lines.unreachable(from.target(), cause);
-			retryOr(false, cause);
+			this.ports.metrics().requestResent("unreachable");
+			this.log.unreachable(from.target(), cause);
+			retryOrGiveUp(false, cause);
 			return;
 		}
-		this.tries.mayHaveRun();
+		this.retryState.recordPossibleRun();
 		this.ports.health().failed(from.target().start());
-		this.lines.fell(from.target(), cause, this.lastEventId);
-		this.gate.fell(from.target());
-		brokenOff(from, cause);
+		this.log.attemptFailed(from.target(), cause, this.lastEventId);
+		this.gate.endpointFailed(from.target());
+		responseInterrupted(from, cause);
 	}
 
 	/**
-	 * An attempt has been silent for longer than its caller would bear.
+	 * Called when an attempt has been silent for longer than its timeout.
 	 * @param from the attempt
 	 */
-	void silent(Attempt from) {
-		if (!this.tries.takeRun(1)) {
+	void attemptTimedOut(Attempt from) {
+		if (!this.retryState.acquireRerun(1)) {
 			return;
 		}
-		this.tries.mayHaveRun();
-		this.gate.fell(from.target());
+		this.retryState.recordPossibleRun();
+		this.gate.endpointFailed(from.target());
 		this.ports.health().unreachable(from.target().start(), "silent");
 		this.ports.health().failed(from.target().start());
-		this.ports.metrics().again("silent");
-		this.lines.takenElsewhere(from.target(), this.lastEventId);
+		this.ports.metrics().requestResent("silent");
+		this.log.attemptTimedOut(from.target(), this.lastEventId);
 		from.cancel();
 		send();
 	}
 
 	/**
-	 * An attempt couldn't be made; nothing was sent.
-	 * @param cause what it lacked, in a word
-	 * @param reason why
+	 * Called when an attempt failed before anything was sent.
+	 * @param cause the cause as a suffix of a metric name
+	 * @param reason the reason
 	 */
 	void notSent(String cause, String reason) {
-		this.ports.metrics().again(cause);
-		retryOr(false, reason);
+		this.ports.metrics().requestResent(cause);
+		retryOrGiveUp(false, reason);
 	}
 
 	String id() {
@@ -302,7 +302,7 @@
 	}
 
 	Route route() {
-		return this.allowed.route();
+		return this.resolved.route();
 	}
 
 	long promptTokens() {
@@ -313,104 +313,104 @@
 		return this.request.outputTokens();
 	}
 
-	Duration left() {
-		return Duration.ofNanos(this.endsAt - this.ports.scheduler().nanos());
+	Duration timeLeft() {
+		return Duration.ofNanos(this.deadline - this.ports.scheduler().nanos());
 	}
 
 	/**
-	 * How long the caller stays. It bears its route's patience until the first event; a
-	 * stream that goes on elsewhere has the rest of its time.
+	 * Returns how long the caller is expected to wait: for the route's patience until the
+	 * first event, and for the rest of its time once the stream has started.
 	 * @return the time
 	 */
-	private Duration callerStays() {
-		Duration patience = this.allowed.route().patience().minus(waited());
-		return (!this.begun && patience.compareTo(left()) < 0) ? patience : left();
+	private Duration callerTimeLeft() {
+		Duration patience = this.resolved.route().patience().minus(elapsed());
+		return (!this.responseStarted && patience.compareTo(timeLeft()) < 0) ? patience : timeLeft();
 	}
 
 	private void refusedBy(Attempt from, BackendHead head) {
-		this.ports.metrics().again("refused");
-		this.lines.refused(from.target(), head);
-		EndpointStart atFault = from.atFault(head);
+		this.ports.metrics().requestResent("refused");
+		this.log.refused(from.target(), head);
+		EndpointStart atFault = from.endpointAtFault(head);
 		if (this.ports.health().restLeft(atFault).isZero()) {
 			this.ports.health().unreachable(atFault, "refused with " + head.status());
 		}
-		retryOr(true, "endpoints refused");
+		retryOrGiveUp(true, "endpoints refused");
 	}
 
-	private void again(Attempt from, String cause) {
-		this.ports.metrics().again("failed");
-		this.lines.sentAgain(from.target(), cause, this.lastEventId);
+	private void resend(Attempt from, String cause) {
+		this.ports.metrics().requestResent("failed");
+		this.log.resent(from.target(), cause, this.lastEventId);
 		from.cancel();
 		send();
 	}
 
-	private void brokenOff(Attempt from, String cause) {
-		if (this.tries.takeRun(0)) {
-			again(from, cause);
+	private void responseInterrupted(Attempt from, String cause) {
+		if (this.retryState.acquireRerun(0)) {
+			resend(from, cause);
 			return;
 		}
 		from.cancel();
 		giveUp(BAD_GATEWAY, cause, Duration.ZERO);
 	}
 
-	private void retryOr(boolean arrived, String reason) {
+	private void retryOrGiveUp(boolean arrived, String reason) {
 		if (!arrived) {
-			this.gate.notArrived();
+			this.gate.notDelivered();
 		}
-		if (this.tries.takeTry(arrived)) {
+		if (this.retryState.acquireRetry(arrived)) {
 			send();
 		}
 		else {
-			giveUp(UNAVAILABLE, reason, REFUSED_PAUSE);
+			giveUp(UNAVAILABLE, reason, REFUSED_RETRY_AFTER);
 		}
 	}
 
-	private void timeOver() {
-		if (this.over) {
+	private void deadlineExceeded() {
+		if (this.finished) {
 			return;
 		}
-		boolean waits = this.attempt != null && this.attempt.mayRun();
-		giveUp(waits ? GATEWAY_TIMEOUT : UNAVAILABLE, "time is over", Duration.ZERO);
+		boolean running = this.attempt != null && this.attempt.mayBeRunning();
+		giveUp(running ? GATEWAY_TIMEOUT : UNAVAILABLE, "time is over", Duration.ZERO);
 	}
 
 	/**
-	 * Ends the request without an endpoint's answer.
+	 * Ends the request without a response from an endpoint.
 	 * @param status the status if the request has certainly not run
-	 * @param reason why
-	 * @param retryAfter when to come back
+	 * @param reason the reason
+	 * @param retryAfter when the caller should retry
 	 */
 	private void giveUp(int status, String reason, Duration retryAfter) {
-		boolean ran = ran();
-		int said = (ran && status == UNAVAILABLE) ? BAD_GATEWAY : status;
-		if (this.begun) {
+		boolean ran = mayHaveRun();
+		int reportedStatus = (ran && status == UNAVAILABLE) ? BAD_GATEWAY : status;
+		if (this.responseStarted) {
 			this.reply.abort();
 		}
 		else {
-			this.reply.own(said, reason, retryAfter);
+			this.reply.own(reportedStatus, reason, retryAfter);
 		}
-		finish(ran ? "failed" : "refused", ran ? "failed" : "refused", "status", said, "reason", reason, "ran",
-				ran ? "unknown" : "no", "retry_after_ms", retryAfter.toMillis(), "asked", this.tries.asked(), "begun",
-				this.begun);
+		finish(ran ? "failed" : "refused", ran ? "failed" : "refused", "status", reportedStatus, "reason", reason,
+				"ran", ran ? "unknown" : "no", "retry_after_ms", retryAfter.toMillis(), "asked",
+				this.retryState.attempts(), "begun", this.responseStarted);
 	}
 
-	private boolean ran() {
-		return this.tries.anyMayHaveRun() || (this.attempt != null && this.attempt.mayRun());
+	private boolean mayHaveRun() {
+		return this.retryState.mayHaveRun() || (this.attempt != null && this.attempt.mayBeRunning());
 	}
 
 	private void finish(String decision, String outcome, Object... fields) {
-		this.over = true;
-		this.endTimer.cancel();
-		this.kept.end();
+		this.finished = true;
+		this.deadlineTimer.cancel();
+		this.deferral.end();
 		this.gate.close();
 		if (this.attempt != null) {
 			this.attempt.cancel();
 		}
 		if (!this.longPrompt) {
-			this.ports.demands().shortEnded(this.allowed.service().name());
+			this.ports.demands().shortEnded(this.resolved.service().name());
 		}
-		this.ports.metrics().ended(outcome);
-		this.lines.ended(decision, this.allowed.route(), waited(), fields);
-		this.ended.accept(this);
+		this.ports.metrics().requestEnded(outcome);
+		this.log.ended(decision, this.resolved.route(), elapsed(), fields);
+		this.onEnd.accept(this);
 	}
 
 }
--- /dev/null
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/RequestLog.java
@@ -0,0 +1,99 @@
+package org.bramleyscale.internal.gateway.request;
+
+import java.time.Duration;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+
+import org.bramleyscale.internal.gateway.backend.Backend;
+import org.bramleyscale.internal.gateway.backend.EndpointNotice;
+import org.bramleyscale.internal.gateway.catalog.Route;
+import org.bramleyscale.internal.gateway.crash.RequestDigest;
+import org.bramleyscale.internal.gateway.log.DecisionLog;
+import org.bramleyscale.internal.gateway.placement.Placement;
+
+/**
+ * Writes the log lines about one request.
+ *
+ * <p>
+ * Immutable; confined to the scheduler's thread.
+ *
+ * @param log receives the lines
+ * @param request the request
+ * @param digest identifies repeated sendings of the same request
+ */
+record RequestLog(DecisionLog log, CallerRequest request, RequestDigest digest) {
+
+	/**
+	 * Logs that the request is sent to an endpoint.
+	 * @param placement the chosen placement
+	 * @param attempts the number of attempts, this one included
+	 * @param left the time left for it
+	 * @param catalog the catalog's version
+	 * @param lastEventId the event after which its stream resumes, or null
+	 */
+	void sent(Placement placement, int attempts, Duration left, long catalog, String lastEventId) {
+		String helpers = placement.helpers()
+			.stream()
+			.map((engine) -> engine.id().value())
+			.collect(Collectors.joining(" "));
+		write("sent", "endpoint", placement.target().orElseThrow().id(), "reason", placement.reason(), "helpers",
+				helpers, "predicted_ms", Math.round(placement.firstMillis()), "asked", attempts, "left_ms",
+				left.toMillis(), "catalog", catalog, "after_event", lastEventId, "digest", this.digest);
+	}
+
+	void firstEvent(Backend endpoint, Duration elapsed, double predictedMillis) {
+		write("first event", "endpoint", endpoint.id(), "after_ms", elapsed.toMillis(), "predicted_ms",
+				Math.round(predictedMillis));
+	}
+
+	/**
+	 * Logs that an endpoint is leaving or asks the daemon to back off.
+	 * @param endpoint the endpoint
+	 * @param notice what it reports about itself
+	 */
+	void noticeReceived(Backend endpoint, EndpointNotice notice) {
+		if (notice.leaving() || notice.rest().isPresent()) {
+			write("endpoint says", "endpoint", endpoint.id(), "leaving", notice.leaving(), "rest_ms",
+					notice.rest().map(Duration::toMillis).orElse(null));
+		}
+	}
+
+	void unreachable(Backend endpoint, String cause) {
+		write("unreachable", "endpoint", endpoint.id(), "cause", cause);
+	}
+
+	void attemptFailed(Backend endpoint, String cause, String lastEventId) {
+		write("fell", "endpoint", endpoint.id(), "cause", cause, "digest", this.digest, "after_event", lastEventId);
+	}
+
+	void attemptTimedOut(Backend endpoint, String lastEventId) {
+		write("taken elsewhere", "endpoint", endpoint.id(), "cause", "silent", "after_event", lastEventId);
+	}
+
+	void refused(Backend endpoint, BackendHead head) {
+		write("endpoint refused", "endpoint", endpoint.id(), "status", head.status(), "at_fault",
+				head.atFault().orElse(null));
+	}
+
+	void resent(Backend endpoint, String cause, String lastEventId) {
+		write("sent again", "endpoint", endpoint.id(), "cause", cause, "after_event", lastEventId);
+	}
+
+	/**
+	 * Logs the end of the request.
+	 * @param decision how it ended
+	 * @param route its route
+	 * @param elapsed the time since its arrival
+	 * @param fields further fields
+	 */
+	void ended(String decision, Route route, Duration elapsed, Object... fields) {
+		Object[] lastFields = { "route", route, "after_ms", elapsed.toMillis(), "prompt_tokens",
+				this.request.promptTokens() };
+		write(decision, Stream.concat(Stream.of(fields), Stream.of(lastFields)).toArray());
+	}
+
+	private void write(String decision, Object... fields) {
+		this.log.request(this.request.id(), decision, fields);
+	}
+
+}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/Allowed.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/ResolvedRoute.java
@@ -10,7 +10,7 @@
 import org.bramleyscale.internal.gateway.placement.EnginePlacement;
 
 /**
- * What the catalog allows a request.
+ * The result of resolving a request in the catalog.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
@@ -20,12 +20,12 @@
  * @param account its account, if it has a known key
  * @param version the catalog's version
  */
-record Allowed(Route route, Service service, Optional<Account> account, long version) {
+record ResolvedRoute(Route route, Service service, Optional<Account> account, long version) {
 
-	private static final int LAST_PRIORITY = 9;
+	private static final int LOWEST_PRIORITY = 9;
 
 	/**
-	 * Whether a prompt is kept apart from short ones.
+	 * Whether a prompt is scheduled separately from short ones.
 	 * @param promptTokens its length
 	 * @return true if the service has engines and the prompt is long for them
 	 */
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * What stays the same when a request comes again.
+	 * Returns the digest of what stays the same when a request is repeated.
 	 * @param request the request
 	 * @return its digest
 	 */
@@ -44,23 +44,23 @@
 	}
 
 	/**
-	 * How long one engine reads a prompt.
+	 * Returns how long one engine takes to prefill a prompt.
 	 * @param promptTokens its length
 	 * @return ms, 0 if the service has no engines
 	 */
-	double readMillis(long promptTokens) {
+	double prefillMillis(long promptTokens) {
 		return this.service.engine().map((engine) -> engine.readMillis(promptTokens)).orElse(0.0);
 	}
 
 	/**
-	 * The priority towards endpoints: the account's rank, or else the route's, and long
-	 * prompts after short ones of the same rank.
+	 * Returns the priority sent to endpoints: the account's rank, or else the route's;
+	 * long prompts come after short ones of the same rank.
 	 * @param longPrompt whether the prompt is a long one
-	 * @return 0 for the most urgent to 9
+	 * @return from 0, the most urgent, to 9
 	 */
 	int priority(boolean longPrompt) {
 		int rank = this.account.map(Account::priority).orElse(OptionalInt.empty()).orElse(this.route.priority());
-		return Math.min(LAST_PRIORITY, 2 * rank + (longPrompt ? 1 : 0));
+		return Math.min(LOWEST_PRIORITY, 2 * rank + (longPrompt ? 1 : 0));
 	}
 
 }
--- /dev/null
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/RetryState.java
@@ -0,0 +1,104 @@
+package org.bramleyscale.internal.gateway.request;
+
+import java.util.HashSet;
+import java.util.Set;
+
+import org.bramleyscale.internal.gateway.backend.EndpointStart;
+import org.bramleyscale.internal.gateway.catalog.Route;
+import org.bramleyscale.internal.gateway.retry.RetryWindow;
+
+/**
+ * Tracks the attempts of one request and decides whether it may be resent.
+ *
+ * <p>
+ * Invariants: a request that isn't repeatable is never resent once it may have run; a
+ * repeatable one may run on as many endpoints as its route allows; every further run is
+ * taken from the retry budget of its service. Confined to the scheduler's thread.
+ */
+final class RetryState {
+
+	/**
+	 * Maximum number of attempts for one request, including endpoints that were
+	 * unreachable or refused. More attempts would delay a caller that could try another
+	 * daemon.
+	 */
+	private static final int MAX_ATTEMPTS = 4;
+
+	private final RetryWindow budget;
+
+	private final ResolvedRoute resolved;
+
+	private final Set<EndpointStart> tried = new HashSet<>();
+
+	private int attempts;
+
+	private int possibleRuns;
+
+	RetryState(RetryWindow budget, ResolvedRoute resolved) {
+		this.budget = budget;
+		this.resolved = resolved;
+	}
+
+	/**
+	 * Records an attempt.
+	 * @param endpoint the endpoint it is made on
+	 */
+	void recordAttempt(EndpointStart endpoint) {
+		this.attempts++;
+		this.tried.add(endpoint);
+	}
+
+	/**
+	 * Records that an endpoint which was tried may have run the request.
+	 */
+	void recordPossibleRun() {
+		this.possibleRuns++;
+	}
+
+	int attempts() {
+		return this.attempts;
+	}
+
+	/**
+	 * Returns the endpoints tried so far, which aren't tried again.
+	 * @return a copy
+	 */
+	Set<EndpointStart> tried() {
+		return Set.copyOf(this.tried);
+	}
+
+	/**
+	 * Whether an endpoint that has finished with the request may have run it.
+	 * @return true if one may have
+	 */
+	boolean mayHaveRun() {
+		return this.possibleRuns > 0;
+	}
+
+	/**
+	 * Acquires another run, if the request may have one.
+	 * @param running endpoints that are still running it and aren't recorded yet
+	 * @return true if it may run once more, which is then taken from the budget
+	 */
+	boolean acquireRerun(int running) {
+		Route route = this.resolved.route();
+		boolean allowed = route.repeatable() && this.possibleRuns + running < route.maxAttempts()
+				&& this.attempts < MAX_ATTEMPTS;
+		return allowed && acquireFromBudget();
+	}
+
+	/**
+	 * Acquires another attempt after one that certainly didn't run.
+	 * @param arrived whether the request reached an endpoint, in which case the budget
+	 * counts it
+	 * @return true if another endpoint may be tried
+	 */
+	boolean acquireRetry(boolean arrived) {
+		return this.attempts < MAX_ATTEMPTS && (!arrived || acquireFromBudget());
+	}
+
+	private boolean acquireFromBudget() {
+		return this.budget.repeat(this.resolved.service().name());
+	}
+
+}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/SendGate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/SendGate.java
@@ -11,24 +11,25 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Lets one request pass to endpoints, judged by what became of those that ran it.
+ * Decides whether one request may be sent to endpoints, based on whether it has crashed
+ * endpoints before.
  *
  * <p>
- * Invariants: a trial is claimed before each sending that is one; after {@link #close} it
- * calls nobody. Confined to the scheduler's thread.
+ * Invariants: a trial is claimed before each sending that is one; after {@link #close}
+ * nothing is called. Confined to the scheduler's thread.
  */
 final class SendGate {
 
-	/** The pause between looks at a verdict that isn't there yet. */
-	static final Duration LOOK = Duration.ofMillis(25);
+	/** Time between checks of a verdict that is still pending. */
+	static final Duration RECHECK_INTERVAL = Duration.ofMillis(25);
 
-	/** A trial of a short request has ended by then. */
-	static final Duration LONGEST_WAIT = Duration.ofSeconds(2);
+	/** A trial of a short request has ended within this time. */
+	static final Duration MAX_WAIT = Duration.ofSeconds(2);
 
-	/** Nothing about a request that isn't sent any more changes by itself. */
-	private static final Duration DEADLY_PAUSE = Duration.ofMinutes(1);
+	/** The verdict on a request that isn't sent any more doesn't change by itself. */
+	private static final Duration CRASHING_RETRY_AFTER = Duration.ofMinutes(1);
 
-	private static final Duration UNDECIDED_PAUSE = Duration.ofSeconds(1);
+	private static final Duration UNDECIDED_RETRY_AFTER = Duration.ofSeconds(1);
 
 	private final Scheduler scheduler;
 
@@ -38,21 +39,21 @@
 
 	private final Refusal refusal;
 
-	private boolean granted;
+	private boolean trialGranted;
 
-	private boolean trial;
+	private boolean lastSendWasTrial;
 
 	private boolean closed;
 
-	private long waitsSince;
+	private long waitingSince;
 
-	private Cancellable look;
+	private Cancellable recheck;
 
 	/**
-	 * Makes the gate.
+	 * Creates the gate.
 	 * @param scheduler the daemon's scheduler
 	 * @param crashes judges requests
-	 * @param digest the request
+	 * @param digest the digest of the request
 	 * @param refusal called instead of sending
 	 */
 	SendGate(Scheduler scheduler, CrashGuard crashes, RequestDigest digest, Refusal refusal) {
@@ -63,94 +64,95 @@
 	}
 
 	/**
-	 * Sends the request now, in a moment, or not at all.
+	 * Sends the request at once, after a short wait, or not at all.
 	 * @param send sends it
 	 */
 	void pass(Runnable send) {
 		if (this.closed) {
 			return;
 		}
-		Verdict verdict = this.granted ? Verdict.CLEAR : this.crashes.verdict(this.digest);
+		Verdict verdict = this.trialGranted ? Verdict.CLEAR : this.crashes.verdict(this.digest);
 		switch (verdict) {
 			case CLEAR, SUSPECT -> send.run();
 			case TRIAL -> this.crashes.claimTrial(this.digest, (claimed) -> {
-				this.granted = claimed;
-				later(send);
+				this.trialGranted = claimed;
+				recheckLater(send);
 			});
-			case WAIT -> later(send);
-			case DEADLY -> this.refusal.refuse("endpoints end under this request", DEADLY_PAUSE);
+			case WAIT -> recheckLater(send);
+			case DEADLY -> this.refusal.refuse("endpoints end under this request", CRASHING_RETRY_AFTER);
 		}
 	}
 
 	/**
-	 * Notes that the request was sent; a trial is used up with that.
+	 * Records that the request was sent, which uses up a trial.
 	 */
 	void sent() {
-		this.trial = this.granted;
-		this.granted = false;
-		this.look = null;
+		this.lastSendWasTrial = this.trialGranted;
+		this.trialGranted = false;
+		this.recheck = null;
 	}
 
 	/**
-	 * Notes that the last sending reached no endpoint, so that a trial is still to come.
+	 * Records that the last sending reached no endpoint, so that its trial remains
+	 * available.
 	 */
-	void notArrived() {
-		this.granted = this.trial;
+	void notDelivered() {
+		this.trialGranted = this.lastSendWasTrial;
 	}
 
-	void fell(Backend endpoint) {
+	void endpointFailed(Backend endpoint) {
 		this.crashes.fell(this.digest, endpoint);
 	}
 
 	/**
-	 * Notes that an endpoint has begun to answer.
+	 * Records that an endpoint has started to respond.
 	 * @param endpoint the endpoint
-	 * @param sentAt when the request was sent there
+	 * @param sentAt when the request was sent to it
 	 */
 	void answered(EndpointStart endpoint, long sentAt) {
 		this.crashes.answered(endpoint, sentAt);
 	}
 
-	void survived() {
+	void endpointSurvived() {
 		this.crashes.survived(this.digest);
 	}
 
 	void close() {
 		this.closed = true;
-		if (this.look != null) {
-			this.look.cancel();
+		if (this.recheck != null) {
+			this.recheck.cancel();
 		}
 	}
 
-	private void later(Runnable send) {
+	private void recheckLater(Runnable send) {
 		if (this.closed) {
 			return;
 		}
-		if (this.granted) {
+		if (this.trialGranted) {
 			pass(send);
 			return;
 		}
 		long now = this.scheduler.nanos();
-		if (this.look == null) {
-			this.waitsSince = now;
+		if (this.recheck == null) {
+			this.waitingSince = now;
 		}
-		if (now - this.waitsSince >= LONGEST_WAIT.toNanos()) {
-			this.refusal.refuse("whether endpoints end under this request isn't known yet", UNDECIDED_PAUSE);
+		if (now - this.waitingSince >= MAX_WAIT.toNanos()) {
+			this.refusal.refuse("not known yet whether this request crashes endpoints", UNDECIDED_RETRY_AFTER);
 			return;
 		}
-		this.look = this.scheduler.schedule(LOOK, () -> pass(send));
+		this.recheck = this.scheduler.schedule(RECHECK_INTERVAL, () -> pass(send));
 	}
 
 	/**
-	 * Ends a request that isn't sent.
+	 * Refuses a request instead of sending it.
 	 */
 	@FunctionalInterface
 	interface Refusal {
 
 		/**
-		 * Called once at the most.
-		 * @param reason why
-		 * @param retryAfter when to come back
+		 * Called at most once.
+		 * @param reason the reason
+		 * @param retryAfter when the caller should retry
 		 */
 		void refuse(String reason, Duration retryAfter);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/StartQueue.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/StartQueue.java
@@ -8,48 +8,51 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Holds requests that come before this daemon knows the configuration and the endpoints.
+ * Holds requests that arrive before this daemon knows the configuration and the
+ * endpoints.
  *
  * <p>
- * After a loss of all daemons callers press on whoever is back first. It learns in a
- * tenth of a second what it needs; a caller that is refused meanwhile has lost one of two
- * tries, and comes back half a second later: twelve of the first thirty requests after a
- * loss of power were. Invariants: each request taken is passed on once and in order,
- * unless its caller has gone, at the latest {@link #LONGEST} after the start; later ones
- * aren't held at all. Confined to the scheduler's thread. <pre>
- * CallerRequests requests = new StartQueue(scheduler, node::ready, service);
+ * After all daemons have failed, callers send their requests to the first one that is
+ * back. It obtains what it needs within a tenth of a second; a caller that is refused in
+ * the meantime has used one of its two tries and retries half a second later: after a
+ * loss of power, this happened to twelve of the first thirty requests. Invariants: each
+ * request taken is passed on once and in order, unless its caller has disconnected, at
+ * the latest {@link #MAX_HOLD} after the start; later ones aren't held. Confined to the
+ * scheduler's thread. <pre>
+ * CallerRequestHandler requests = new StartQueue(scheduler, node::ready, service);
  * </pre>
  */
-public final class StartQueue implements CallerRequests {
+public final class StartQueue implements CallerRequestHandler {
 
 	/**
-	 * Copies of the store's objects come from peers or the store within 0.1 to 0.5 s of a
-	 * start on the smallest VMs; a daemon that has none by then has lost the store.
+	 * Copies of the store's objects arrive from peers or from the store within 0.1 to 0.5
+	 * s of a start on the smallest VMs; a daemon that has none by then has no access to
+	 * the store.
 	 */
-	static final Duration LONGEST = Duration.ofMillis(500);
+	static final Duration MAX_HOLD = Duration.ofMillis(500);
 
-	/** The pause between looks; short prompts have 300 ms for the whole way. */
-	private static final Duration LOOK = Duration.ofMillis(10);
+	/** The polling interval; short prompts have 300 ms in total. */
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(10);
 
 	private final Scheduler scheduler;
 
 	private final BooleanSupplier ready;
 
-	private final CallerRequests next;
+	private final CallerRequestHandler next;
 
-	private final Queue<Held> held = new ArrayDeque<>();
+	private final Queue<HeldRequest> held = new ArrayDeque<>();
 
 	private final long startedAt;
 
 	private boolean open;
 
 	/**
-	 * Makes a queue that holds from now on.
+	 * Creates a queue that holds requests from now on.
 	 * @param scheduler the daemon's scheduler
-	 * @param ready whether the daemon knows what it needs
-	 * @param next takes the requests then
+	 * @param ready whether the daemon knows the configuration and the endpoints
+	 * @param next handles the requests after that
 	 */
-	public StartQueue(Scheduler scheduler, BooleanSupplier ready, CallerRequests next) {
+	public StartQueue(Scheduler scheduler, BooleanSupplier ready, CallerRequestHandler next) {
 		this.scheduler = scheduler;
 		this.ready = ready;
 		this.next = next;
@@ -58,27 +61,27 @@
 
 	@Override
 	public Runnable take(CallerRequest request, CallerReply reply) {
-		if (opens()) {
+		if (checkOpen()) {
 			return this.next.take(request, reply);
 		}
 		if (this.held.isEmpty()) {
-			this.scheduler.schedule(LOOK, this::look);
+			this.scheduler.schedule(POLL_INTERVAL, this::poll);
 		}
-		Held waiting = new Held(request, reply);
-		this.held.add(waiting);
-		return waiting::callerGone;
+		HeldRequest heldRequest = new HeldRequest(request, reply);
+		this.held.add(heldRequest);
+		return heldRequest::callerDisconnected;
 	}
 
-	private boolean opens() {
-		boolean over = this.scheduler.nanos() - this.startedAt >= LONGEST.toNanos();
-		this.open = this.open || over || this.ready.getAsBoolean();
+	private boolean checkOpen() {
+		boolean expired = this.scheduler.nanos() - this.startedAt >= MAX_HOLD.toNanos();
+		this.open = this.open || expired || this.ready.getAsBoolean();
 		return this.open && this.held.isEmpty();
 	}
 
-	private void look() {
-		opens();
+	private void poll() {
+		checkOpen();
 		if (!this.open) {
-			this.scheduler.schedule(LOOK, this::look);
+			this.scheduler.schedule(POLL_INTERVAL, this::poll);
 			return;
 		}
 		while (!this.held.isEmpty()) {
@@ -87,9 +90,9 @@
 	}
 
 	/**
-	 * A request that is held, or was.
+	 * A request that is or was held.
 	 */
-	private final class Held {
+	private final class HeldRequest {
 
 		private final CallerRequest request;
 
@@ -97,26 +100,26 @@
 
 		private final long takenAt = StartQueue.this.scheduler.nanos();
 
-		private boolean gone;
+		private boolean disconnected;
 
-		private Runnable whenGone = () -> {
+		private Runnable onDisconnect = () -> {
 		};
 
-		private Held(CallerRequest request, CallerReply reply) {
+		private HeldRequest(CallerRequest request, CallerReply reply) {
 			this.request = request;
 			this.reply = reply;
 		}
 
 		private void pass() {
-			if (!this.gone) {
+			if (!this.disconnected) {
 				Duration waited = Duration.ofNanos(StartQueue.this.scheduler.nanos() - this.takenAt);
-				this.whenGone = StartQueue.this.next.take(this.request.after(waited), this.reply);
+				this.onDisconnect = StartQueue.this.next.take(this.request.afterWaiting(waited), this.reply);
 			}
 		}
 
-		private void callerGone() {
-			this.gone = true;
-			this.whenGone.run();
+		private void callerDisconnected() {
+			this.disconnected = true;
+			this.onDisconnect.run();
 		}
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The life of one relayed request, from its arrival to its only answer.
+ * Relays a request from its arrival to its single response.
  */
 package org.bramleyscale.internal.gateway.request;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/BackendConnectionsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/BackendConnectionsTests.java
@@ -34,7 +34,7 @@
 
 	private static final String OK = "HTTP/1.1 200 OK\r\nId: r1\r\nSignature: s\r\n";
 
-	private static final String SECOND = "HTTP/1.1 200 OK\r\nId: r2\r\nSignature: s\r\nContent-Length: 2\r\n\r\nbb";
+	private static final String SECOND_RESPONSE = "HTTP/1.1 200 OK\r\nId: r2\r\nSignature: s\r\nContent-Length: 2\r\n\r\nbb";
 
 	private final NettyLoop loop = new NettyLoop("test");
 
@@ -55,22 +55,20 @@
 					"Transfer-Encoding: chunked\\r\\n\\r\\n2\\r\\naa\\r\\n!close | 200 aa failed",
 					"Transfer-Encoding: chunked\\r\\n\\r\\n4\\r\\naa!close | 200 aa failed",
 					"Transfer-Encoding: chunked\\r\\n\\r\\nzz\\r\\naa | 200 failed" })
-	void anAnswerIsCompleteOnlyByItsOwnFraming(String rest, String heard) throws Exception {
-		// Symptom: a caller takes half of an answer for all of it. Sequence: an endpoint
-		// breaks off an answer. Cause: the end of a connection looks like the answer's
-		// end.
+	void responseIsCompleteOnlyByItsOwnFraming(String rest, String received) throws Exception {
+		// Guards against taking a truncated response for complete: an endpoint breaks off
+		// a response, and the end of the connection looks like the end of the response.
 		try (ScriptedServer server = new ScriptedServer(List.of(OK + unescape(rest)))) {
-			Truth.assertThat(send(server, "r1", false)).isEqualTo(heard);
+			Truth.assertThat(send(server, "r1", false)).isEqualTo(received);
 		}
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "HTTP/1.1 200 OK\\r\\nId: r0\\r\\nContent-Length: 2\\r\\n\\r\\nzz",
 			"HTTP/1.1 100 Continue\\r\\n\\r\\n" })
-	void anAnswerToAnotherRequestIsSkipped(String before) throws Exception {
-		// Symptom: a caller gets another caller's answer. Sequence: an endpoint's late
-		// answer
-		// arrives where the next one is expected. Cause: answers are matched by position.
+	void responseToAnotherRequestIsSkipped(String before) throws Exception {
+		// Guards against relaying another caller's response: an endpoint's late response
+		// arrives where the next one is expected, and responses are matched by position.
 		try (ScriptedServer server = new ScriptedServer(
 				List.of(unescape(before) + OK + "Content-Length: 2\r\n\r\naa"))) {
 			Truth.assertThat(send(server, "r1", false)).isEqualTo("200 aa complete");
@@ -79,9 +77,9 @@
 
 	@ParameterizedTest
 	@CsvSource({ "HTTP/1.1 200 OK\\r\\nId: r1\\r\\nContent-Length: 2\\r\\n\\r\\nxx", "junk" })
-	void aConnectionWithBytesThatNobodyAskedForIsNotUsedAgain(String extra) throws Exception {
+	void connectionWithUnsolicitedBytesIsNotReused(String extra) throws Exception {
 		try (ScriptedServer server = new ScriptedServer(
-				List.of(OK + "Content-Length: 2\r\n\r\naa" + unescape(extra) + "\r\n\r\n", SECOND))) {
+				List.of(OK + "Content-Length: 2\r\n\r\naa" + unescape(extra) + "\r\n\r\n", SECOND_RESPONSE))) {
 			Truth.assertThat(send(server, "r1", false)).isEqualTo("200 aa complete");
 			Truth.assertThat(send(server, "r2", false)).isEqualTo("200 bb complete");
 			Truth.assertThat(server.connections()).isEqualTo(2);
@@ -90,9 +88,9 @@
 
 	@ParameterizedTest
 	@CsvSource({ "false, '', 1", "true, '', 2", "false, Connection: close, 2" })
-	void aConnectionIsKeptForRequestsThatMayBeRepeated(boolean fresh, String header, int connections) throws Exception {
+	void connectionIsReusedUnlessAFreshOneIsRequired(boolean fresh, String header, int connections) throws Exception {
 		String first = OK + (header.isEmpty() ? "" : header + "\r\n") + "Content-Length: 2\r\n\r\naa";
-		try (ScriptedServer server = new ScriptedServer(List.of(first, SECOND))) {
+		try (ScriptedServer server = new ScriptedServer(List.of(first, SECOND_RESPONSE))) {
 			Truth.assertThat(send(server, "r1", false)).isEqualTo("200 aa complete");
 			Truth.assertThat(send(server, "r2", fresh)).isEqualTo("200 bb complete");
 			Truth.assertThat(server.connections()).isEqualTo(connections);
@@ -100,14 +98,14 @@
 	}
 
 	@Test
-	void aRequestThatReachedNobodyIsSaidToBeUnsent() throws Exception {
+	void requestThatCouldNotConnectIsReportedUnsent() throws Exception {
 		ScriptedServer server = new ScriptedServer(List.of(OK));
 		server.close();
 		Truth.assertThat(send(server, "r1", false)).isEqualTo("unsent");
 	}
 
 	@Test
-	void namesTheEndpointThatIsMeantAndKeepsTheCallersHeaders() throws Exception {
+	void sendsExpectedEndpointAndCallerHeaders() throws Exception {
 		try (ScriptedServer server = new ScriptedServer(List.of(OK + "Content-Length: 0\r\n\r\n"))) {
 			send(server, "r1", false);
 			Truth.assertThat(server.requests.get(0)).startsWith("GET /quotes?x=1%202 HTTP/1.1\r\n");
@@ -118,12 +116,12 @@
 
 	@ParameterizedTest
 	@CsvSource({ "1, 1, 1", "1, 2, 2" })
-	void aConnectionToAnEarlierStartIsNotUsed(long first, long second, int connections) throws Exception {
-		// Symptom: a request is lost although its endpoint is well. Sequence: an endpoint
-		// crashes without closing its connections and starts again under its id and
-		// address; the next request goes over a kept connection. Cause: only the new
-		// process's reset tells that the connection is dead.
-		try (ScriptedServer server = new ScriptedServer(List.of(OK + "Content-Length: 2\r\n\r\naa", SECOND))) {
+	void connectionToAnEarlierStartIsNotReused(long first, long second, int connections) throws Exception {
+		// Guards against losing a request although its endpoint is healthy: an endpoint
+		// crashes without closing its connections and restarts under its id and address,
+		// and the next request uses a pooled connection, which only the new process's
+		// reset shows to be dead.
+		try (ScriptedServer server = new ScriptedServer(List.of(OK + "Content-Length: 2\r\n\r\naa", SECOND_RESPONSE))) {
 			send(server, new EndpointStart(new EndpointId("e1"), first), "r1", false);
 			send(server, new EndpointStart(new EndpointId("e1"), second), "r2", false);
 			Truth.assertThat(server.connections()).isEqualTo(connections);
@@ -140,15 +138,15 @@
 		CallerRequest request = new CallerRequest(id, "GET", "/quotes?x=1%202", "hire.example",
 				List.of(new Header("Host", "hire.example"), new Header("Colour", "red")), new byte[0], Optional.empty(),
 				Optional.empty(), 0, 0, Optional.empty());
-		Listener listener = new Listener();
+		RecordingListener listener = new RecordingListener();
 		this.loop.execute(() -> this.connections.send(to, new OutgoingRequest(request, Optional.empty(),
 				Duration.ofSeconds(5), Optional.empty(), List.of(), 5, fresh), listener));
-		String heard = listener.ended.get(20, TimeUnit.SECONDS);
-		// What follows on the connection has been read when this has run.
+		String received = listener.ended.get(20, TimeUnit.SECONDS);
+		// Any further data on the connection has been read when this task has run.
 		CompletableFuture<Void> settled = new CompletableFuture<>();
 		this.loop.schedule(Duration.ofMillis(100), () -> settled.complete(null));
 		settled.get(20, TimeUnit.SECONDS);
-		return heard;
+		return received;
 	}
 
 	private static String unescape(String text) {
@@ -156,34 +154,34 @@
 	}
 
 	/**
-	 * Notes what it hears.
+	 * Records its calls.
 	 */
-	private static final class Listener implements BackendListener {
+	private static final class RecordingListener implements BackendListener {
 
 		private final CompletableFuture<String> ended = new CompletableFuture<>();
 
-		private final List<String> heard = new ArrayList<>();
+		private final List<String> received = new ArrayList<>();
 
 		@Override
 		public void head(BackendHead head) {
-			this.heard.add(String.valueOf(head.status()));
+			this.received.add(String.valueOf(head.status()));
 		}
 
 		@Override
 		public void data(byte[] data) {
-			this.heard.add(new String(data, StandardCharsets.UTF_8));
+			this.received.add(new String(data, StandardCharsets.UTF_8));
 		}
 
 		@Override
 		public void complete() {
-			this.heard.add("complete");
-			this.ended.complete(String.join(" ", this.heard));
+			this.received.add("complete");
+			this.ended.complete(String.join(" ", this.received));
 		}
 
 		@Override
 		public void failed(boolean sent, String cause) {
-			this.heard.add(sent ? "failed" : "unsent");
-			this.ended.complete(String.join(" ", this.heard));
+			this.received.add(sent ? "failed" : "unsent");
+			this.ended.complete(String.join(" ", this.received));
 		}
 
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/CallerServerTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/CallerServerTests.java
@@ -43,7 +43,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Contract tests of {@link CallerServer} with callers that behave well and badly, and one
+ * Contract tests of {@link CallerServer} with valid and invalid requests, and one
  * scripted endpoint.
  */
 @Timeout(30)
@@ -107,31 +107,30 @@
 			"POST /log/1 HTTP/1.1\\r\\nHost: hire.example\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\nzz\\r\\n | 400",
 			"POST /log/1 HTTP/1.1\\r\\nHost: hire.example\\r\\nContent-Length: 5\\r\\n\\r\\nab | 408",
 			"GET /log/1 HTTP/1.1\\r\\nHost: hire | 408" })
-	void answersEachKindOfRequest(String request, int status) throws IOException {
-		String answer = exchange(request.replace("\\r\\n", "\r\n"), true);
-		Truth.assertThat(answer).startsWith("HTTP/1.1 " + status + " ");
+	void respondsToEachKindOfRequest(String request, int status) throws IOException {
+		String response = exchange(request.replace("\\r\\n", "\r\n"), true);
+		Truth.assertThat(response).startsWith("HTTP/1.1 " + status + " ");
 	}
 
 	@Test
-	void refusesAHeaderBlockOverTheLimit() throws IOException {
+	void rejectsAHeaderBlockOverTheLimit() throws IOException {
 		String request = "GET /log/1 HTTP/1.1\r\nHost: hire.example\r\nLong: " + "x".repeat(1_000) + "\r\n\r\n";
 		Truth.assertThat(exchange(request, true)).startsWith("HTTP/1.1 431 ");
 	}
 
 	@Test
-	void answersRequestsSentAheadOneAfterTheOther() throws IOException {
+	void respondsToPipelinedRequestsInOrder() throws IOException {
 		String request = "GET /log/1 HTTP/1.1\r\nHost: hire.example\r\n";
-		String answers = exchange(request + "\r\n" + request + "\r\n" + request + "Connection: close\r\n\r\n", false);
-		Truth.assertThat(answers.split("HTTP/1.1 200 OK", -1)).hasLength(4);
+		String responses = exchange(request + "\r\n" + request + "\r\n" + request + "Connection: close\r\n\r\n", false);
+		Truth.assertThat(responses.split("HTTP/1.1 200 OK", -1)).hasLength(4);
 		Truth.assertThat(this.endpoint.requests).hasSize(3);
 	}
 
 	@Test
-	void passesABodyOnThatWasSentInChunksAndLooksLikeARequest() throws IOException {
-		// Symptom: an endpoint runs a request that no caller sent. Sequence: a caller
-		// hides a
-		// request in a body that is framed in two ways. Cause: two readers take two
-		// lengths.
+	void relaysChunkedBodyThatLooksLikeARequest() throws IOException {
+		// Guards against request smuggling: a caller hides a request in a body with two
+		// conflicting framings, and two readers that determine different lengths make an
+		// endpoint run a request that no caller sent.
 		String hidden = "GET /log/9 HTTP/1.1\r\n\r\n";
 		exchange("POST /log/1 HTTP/1.1\r\nHost: hire.example\r\nContent-Length: 4\r\n"
 				+ "Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n" + Integer.toHexString(hidden.length())
@@ -140,16 +139,16 @@
 	}
 
 	@Test
-	void asksCallersToCloseOnceItLeaves() throws IOException {
+	void asksCallersToCloseWhenLeaving() throws IOException {
 		this.loop.execute(this.server::leave);
-		String answer = exchange("GET /log/1 HTTP/1.1\r\nHost: hire.example\r\n\r\n", false);
-		Truth.assertThat(answer.toLowerCase(java.util.Locale.ROOT)).contains("connection: close");
+		String response = exchange("GET /log/1 HTTP/1.1\r\nHost: hire.example\r\n\r\n", false);
+		Truth.assertThat(response.toLowerCase(java.util.Locale.ROOT)).contains("connection: close");
 	}
 
 	/**
 	 * Sends bytes and reads until the server closes the connection.
 	 * @param bytes the bytes
-	 * @param first whether the first answer is enough
+	 * @param first whether to stop after the first response
 	 * @return what was read
 	 * @throws IOException if the connection fails
 	 */
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/PlainDialect.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/PlainDialect.java
@@ -15,7 +15,7 @@
 import org.bramleyscale.internal.gateway.request.OutgoingRequest;
 
 /**
- * A dialect with short names for tests.
+ * A dialect with short header names for tests.
  */
 final class PlainDialect implements WireDialect {
 
@@ -36,16 +36,16 @@
 	}
 
 	@Override
-	public boolean belongs(HttpResponse answer, CallerRequest request) {
-		String id = answer.headers().get("Id");
+	public boolean belongs(HttpResponse response, CallerRequest request) {
+		String id = response.headers().get("Id");
 		return id == null || id.equals(request.id());
 	}
 
 	@Override
-	public BackendHead answer(HttpResponse answer) {
-		return new BackendHead(answer.status().code(), PassedHeaders.of(answer.headers(), Set.of()),
-				answer.headers().contains("Not-Run"), answer.headers().contains("Signature"),
-				answer.headers().get(HttpHeaderNames.CONTENT_TYPE, "").startsWith("text/event-stream"),
+	public BackendHead answer(HttpResponse response) {
+		return new BackendHead(response.status().code(), PassedHeaders.of(response.headers(), Set.of()),
+				response.headers().contains("Not-Run"), response.headers().contains("Signature"),
+				response.headers().get(HttpHeaderNames.CONTENT_TYPE, "").startsWith("text/event-stream"),
 				EndpointNotice.NONE, Optional.empty());
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/ScriptedServer.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/ScriptedServer.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * An endpoint that answers the requests on its connections with given bytes.
+ * An endpoint that responds to the requests on its connections with given bytes.
  *
  * <p>
  * In the bytes, {@code !reset} at the end resets the connection and {@code !close} closes
@@ -22,14 +22,14 @@
 
 	private final ServerSocket server;
 
-	private final List<String> answers;
+	private final List<String> responses;
 
 	private volatile int connections;
 
-	private int answered;
+	private int served;
 
-	ScriptedServer(List<String> answers) throws IOException {
-		this.answers = answers;
+	ScriptedServer(List<String> responses) throws IOException {
+		this.responses = responses;
 		this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 		Thread acceptor = new Thread(this::accept, "scripted-server");
 		acceptor.setDaemon(true);
@@ -69,10 +69,10 @@
 			for (String request = readHead(socket.getInputStream()); request != null; request = readHead(
 					socket.getInputStream())) {
 				this.requests.add(request);
-				String answer = next();
-				boolean reset = answer.endsWith("!reset");
-				boolean close = answer.endsWith("!close");
-				String bytes = answer.replace("!reset", "").replace("!close", "");
+				String response = next();
+				boolean reset = response.endsWith("!reset");
+				boolean close = response.endsWith("!close");
+				String bytes = response.replace("!reset", "").replace("!close", "");
 				socket.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
 				socket.getOutputStream().flush();
 				if (reset) {
@@ -84,12 +84,12 @@
 			}
 		}
 		catch (IOException ex) {
-			// The other end has gone.
+			// The other end has closed the connection.
 		}
 	}
 
 	private synchronized String next() {
-		return this.answers.get(Math.min(this.answered++, this.answers.size() - 1));
+		return this.responses.get(Math.min(this.served++, this.responses.size() - 1));
 	}
 
 	private static String readHead(InputStream input) throws IOException {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/log/JsonLinesTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/log/JsonLinesTests.java
@@ -18,7 +18,7 @@
  */
 class JsonLinesTests {
 
-	private static final int MANY = 5_000;
+	private static final int LINES = 5_000;
 
 	@Test
 	void writesOneObjectForEachLine() throws Exception {
@@ -36,55 +36,55 @@
 
 	@Test
 	@Timeout(20)
-	void neverWaitsForAReaderThatStopsAndSaysHowMuchWasDropped() throws Exception {
-		// Symptom: all requests stand still. Sequence: whoever collects the output stops
-		// reading. Cause: a full pipe blocks its writer, and the writer is the only
+	void neverBlocksOnAStalledReaderAndReportsDroppedLines() throws Exception {
+		// Guards against blocking all requests on the log: the reader of the output stops
+		// reading, the pipe fills up and blocks its writer, which must not be the only
 		// thread.
-		CountDownLatch reading = new CountDownLatch(1);
-		ByteArrayOutputStream read = new ByteArrayOutputStream();
-		JsonLines lines = new JsonLines(new StuckOutput(reading, read), "entry-1", () -> Instant.EPOCH);
-		for (int i = 0; i < MANY; i++) {
+		CountDownLatch unblocked = new CountDownLatch(1);
+		ByteArrayOutputStream written = new ByteArrayOutputStream();
+		JsonLines lines = new JsonLines(new BlockedOutput(unblocked, written), "entry-1", () -> Instant.EPOCH);
+		for (int i = 0; i < LINES; i++) {
 			lines.request("r" + i, "sent");
 		}
 		long dropped = lines.dropped();
-		Truth.assertThat(dropped).isAtLeast(MANY - 1_002);
-		reading.countDown();
+		Truth.assertThat(dropped).isAtLeast(LINES - 1_002);
+		unblocked.countDown();
 		while (lines.dropped() > 0) {
 			lines.request("later", "sent");
 			Thread.onSpinWait();
 		}
 		lines.close();
-		Truth.assertThat(read.toString(StandardCharsets.UTF_8)).contains("\"event\":\"lines dropped\",\"count\":");
+		Truth.assertThat(written.toString(StandardCharsets.UTF_8)).contains("\"event\":\"lines dropped\",\"count\":");
 	}
 
 	/**
-	 * Output that takes nothing until it is read.
+	 * An output stream that blocks until the test unblocks it.
 	 */
-	private static final class StuckOutput extends OutputStream {
+	private static final class BlockedOutput extends OutputStream {
 
-		private final CountDownLatch reading;
+		private final CountDownLatch unblocked;
 
-		private final OutputStream read;
+		private final OutputStream written;
 
-		private StuckOutput(CountDownLatch reading, OutputStream read) {
-			this.reading = reading;
-			this.read = read;
+		private BlockedOutput(CountDownLatch unblocked, OutputStream written) {
+			this.unblocked = unblocked;
+			this.written = written;
 		}
 
 		@Override
 		public void write(int value) {
-			throw new UnsupportedOperationException("lines are written whole");
+			throw new UnsupportedOperationException("single bytes are not written");
 		}
 
 		@Override
 		public void write(byte[] bytes, int offset, int length) throws java.io.IOException {
 			try {
-				Truth.assertThat(this.reading.await(15, TimeUnit.SECONDS)).isTrue();
+				Truth.assertThat(this.unblocked.await(15, TimeUnit.SECONDS)).isTrue();
 			}
 			catch (InterruptedException ex) {
 				Thread.currentThread().interrupt();
 			}
-			this.read.write(bytes, offset, length);
+			this.written.write(bytes, offset, length);
 		}
 
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/EventSplitterTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/EventSplitterTests.java
@@ -19,27 +19,27 @@
 
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 3, 5, 7, 100 })
-	void findsWholeEventsHoweverTheBytesArrive(int piece) {
+	void findsCompleteEventsRegardlessOfChunking(int piece) {
 		EventSplitter splitter = new EventSplitter();
 		List<String> ids = new ArrayList<>();
 		StringBuilder bytes = new StringBuilder();
 		for (int i = 0; i < STREAM.length(); i += piece) {
 			for (EventSplitter.Event event : splitter
-				.take(utf8(STREAM.substring(i, Math.min(STREAM.length(), i + piece))))) {
+				.append(utf8(STREAM.substring(i, Math.min(STREAM.length(), i + piece))))) {
 				ids.add(event.id());
 				bytes.append(new String(event.bytes(), StandardCharsets.UTF_8));
 			}
 		}
 		Truth.assertThat(ids).containsExactly("1", "2", "3").inOrder();
 		Truth.assertThat(bytes.toString()).isEqualTo(STREAM);
-		Truth.assertThat(splitter.rest()).isEmpty();
+		Truth.assertThat(splitter.remainder()).isEmpty();
 	}
 
 	@Test
-	void keepsBackAnEventThatWasTorn() {
+	void keepsIncompleteEventAsRemainder() {
 		EventSplitter splitter = new EventSplitter();
-		Truth.assertThat(splitter.take(utf8("id: 1\ndata: a\n\nid: 2\ndata: to"))).hasSize(1);
-		Truth.assertThat(splitter.rest()).isEqualTo(utf8("id: 2\ndata: to"));
+		Truth.assertThat(splitter.append(utf8("id: 1\ndata: a\n\nid: 2\ndata: to"))).hasSize(1);
+		Truth.assertThat(splitter.remainder()).isEqualTo(utf8("id: 2\ndata: to"));
 	}
 
 	@ParameterizedTest
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayFixture.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayFixture.java
@@ -44,19 +44,19 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * A gateway with endpoints whose answers a test gives, and a caller that notes what it
- * gets.
+ * A gateway whose endpoints respond as the test says, and a caller that records its
+ * response.
  */
 final class RelayFixture {
 
-	/** Allows three repeats in ten seconds: six tenths of it. */
+	/** Allows three retries in ten seconds, since six tenths of the constant are used. */
 	static final int RETRY_CONSTANT = 5;
 
 	static final ServiceName SERVICE = new ServiceName("yard");
 
 	final ManualScheduler scheduler = new ManualScheduler();
 
-	final List<Sent> sent = new ArrayList<>();
+	final List<SentRequest> sent = new ArrayList<>();
 
 	final BackendTable backends = new BackendTable(this.scheduler, DecisionLog.NONE);
 
@@ -66,16 +66,16 @@
 
 	final DemandBoard demands = new DemandBoard(this.scheduler);
 
-	/** Placements that the next requests get instead of a plain one. */
-	final Deque<Placement> forced = new ArrayDeque<>();
+	/** Placements that the next requests get instead of one from the plain policy. */
+	final Deque<Placement> scriptedPlacements = new ArrayDeque<>();
 
 	final PendingOrders orders = new PendingOrders();
 
-	final SignsOfLife signs = new SignsOfLife();
+	final RecordingCrashGuard crashGuard = new RecordingCrashGuard();
 
-	PlacementRequest placed;
+	PlacementRequest lastPlacementRequest;
 
-	Duration longestTaken = Duration.ofDays(1);
+	Duration maxTimeLeft = Duration.ofDays(1);
 
 	final CatalogHolder catalogs = new CatalogHolder();
 
@@ -88,15 +88,15 @@
 		}
 		Random random = new Random(1);
 		GatewayPorts ports = new GatewayPorts(this.scheduler, new DataCentre("east"), this::send,
-				forcedOr(new PlainPlacement(this.backends, this.health, this.loads, random)),
+				scriptedOr(new PlainPlacement(this.backends, this.health, this.loads, random)),
 				new EndpointNotices(this.backends, this.health), this.health, this.loads, this.demands,
 				new RetryWindow(this.scheduler, Duration.ofSeconds(10), 0, RETRY_CONSTANT, () -> 1),
-				EndpointLimits.NONE, this.signs, new MemoryHolds(this.scheduler, this.orders,
+				EndpointLimits.NONE, this.crashGuard, new MemoryHolds(this.scheduler, this.orders,
 						this.backends::startedAgain, (engine) -> true, "entry-1", DecisionLog.NONE),
 				() -> {
 				}, DecisionLog.NONE, new GatewayMetrics(new MetricRegistry()));
-		this.service = new GatewayService(ports, this.catalogs,
-				(timeLeft) -> timeLeft.compareTo(this.longestTaken) <= 0, random);
+		this.service = new GatewayService(ports, this.catalogs, (timeLeft) -> timeLeft.compareTo(this.maxTimeLeft) <= 0,
+				random);
 		this.catalogs.offer(Catalog.builder(1)
 			.account(new Account(new ClientAccountId("hule"), OptionalInt.empty()), List.of("key"))
 			.route(route("stream", "/stream/").streaming(true)
@@ -119,31 +119,31 @@
 			.orElseThrow();
 	}
 
-	private PlacementPolicy forcedOr(PlacementPolicy plain) {
+	private PlacementPolicy scriptedOr(PlacementPolicy plain) {
 		return (request) -> {
-			this.placed = request;
-			return this.forced.isEmpty() ? plain.place(request) : this.forced.poll();
+			this.lastPlacementRequest = request;
+			return this.scriptedPlacements.isEmpty() ? plain.place(request) : this.scriptedPlacements.poll();
 		};
 	}
 
-	Caller call(String path) {
+	RecordingCaller call(String path) {
 		return call(path, Duration.ofSeconds(10));
 	}
 
-	Caller call(String path, Duration left) {
-		Caller caller = new Caller();
+	RecordingCaller call(String path, Duration left) {
+		RecordingCaller caller = new RecordingCaller();
 		CallerRequest request = new CallerRequest("r1", "POST", path, "hire.example", List.of(), new byte[0],
 				Optional.of("key"), Optional.of(left), 0, 0, Optional.empty());
-		caller.gone = this.service.take(request, caller);
+		caller.onDisconnect = this.service.take(request, caller);
 		return caller;
 	}
 
-	Sent last() {
+	SentRequest last() {
 		return this.sent.get(this.sent.size() - 1);
 	}
 
-	private Sent send(Backend to, OutgoingRequest request, BackendListener listener) {
-		Sent exchange = new Sent(to, request, listener);
+	private SentRequest send(Backend to, OutgoingRequest request, BackendListener listener) {
+		SentRequest exchange = new SentRequest(to, request, listener);
 		this.sent.add(exchange);
 		return exchange;
 	}
@@ -163,7 +163,7 @@
 	/**
 	 * A request sent to an endpoint.
 	 */
-	static final class Sent implements BackendClient.BackendExchange {
+	static final class SentRequest implements BackendClient.BackendExchange {
 
 		final Backend to;
 
@@ -173,9 +173,9 @@
 
 		boolean cancelled;
 
-		private boolean headGiven;
+		private boolean headSent;
 
-		Sent(Backend to, OutgoingRequest request, BackendListener listener) {
+		SentRequest(Backend to, OutgoingRequest request, BackendListener listener) {
 			this.to = to;
 			this.request = request;
 			this.listener = listener;
@@ -188,24 +188,24 @@
 
 		@Override
 		public void reading(boolean on) {
-			// The endpoints of these tests send what the test says.
+			// The endpoints of these tests send only what the test says.
 		}
 
-		void answer(int status, boolean notRun, String body) {
+		void respond(int status, boolean notRun, String body) {
 			this.listener.head(head(status, notRun, !notRun, false));
 			this.listener.data(body.getBytes(StandardCharsets.UTF_8));
 			this.listener.complete();
 		}
 
-		void asksForRest(Duration rest) {
+		void refuseWithBackOff(Duration rest) {
 			this.listener.head(new BackendHead(503, List.of(), true, false, false,
 					new EndpointNotice(false, Optional.of(rest), OptionalDouble.empty()), Optional.empty()));
 			this.listener.complete();
 		}
 
-		void events(int from, int to) {
-			if (!this.headGiven) {
-				this.headGiven = true;
+		void sendEvents(int from, int to) {
+			if (!this.headSent) {
+				this.headSent = true;
 				this.listener.head(head(200, false, true, true));
 			}
 			for (int id = from; id <= to; id++) {
@@ -216,71 +216,72 @@
 	}
 
 	/**
-	 * A caller that notes what it gets.
+	 * A caller that records its response.
 	 */
-	static final class Caller implements CallerReply {
+	static final class RecordingCaller implements CallerReply {
 
-		final StringBuilder got = new StringBuilder();
+		final StringBuilder received = new StringBuilder();
 
 		Duration retryAfter = Duration.ZERO;
 
-		Runnable gone;
+		Runnable onDisconnect;
 
 		@Override
 		public void whole(int status, List<Header> headers, byte[] body) {
-			this.got.append(status).append(' ').append(new String(body, StandardCharsets.UTF_8));
+			this.received.append(status).append(' ').append(new String(body, StandardCharsets.UTF_8));
 		}
 
 		@Override
 		public void own(int status, String reason, Duration retryAfter) {
-			this.got.append("own ").append(status);
+			this.received.append("own ").append(status);
 			this.retryAfter = retryAfter;
 		}
 
 		@Override
 		public void begin(int status, List<Header> headers) {
-			this.got.append("begin").append(headers.isEmpty() ? "" : " " + headers.get(0).value());
+			this.received.append("begin").append(headers.isEmpty() ? "" : " " + headers.get(0).value());
 		}
 
 		@Override
 		public boolean write(byte[] data) {
 			String event = new String(data, StandardCharsets.UTF_8);
-			this.got.append(' ').append(event.startsWith("id: ") ? event.substring(4, event.indexOf('\n')) : event);
+			this.received.append(' ')
+				.append(event.startsWith("id: ") ? event.substring(4, event.indexOf('\n')) : event);
 			return true;
 		}
 
 		@Override
 		public void onReadsAgain(Runnable task) {
-			// Reads always.
+			// This caller always reads.
 		}
 
 		@Override
 		public void end() {
-			this.got.append(" end");
+			this.received.append(" end");
 		}
 
 		@Override
 		public void abort() {
-			this.got.append(" abort");
+			this.received.append(" abort");
 		}
 
 	}
 
 	/**
-	 * Notes which endpoints showed that they live. Every request passes; if the test says
-	 * so, only as a trial, of which there is one.
+	 * Records which endpoints have responded. Every request passes; if the test says so,
+	 * only as a trial, of which there is one.
 	 */
-	static final class SignsOfLife implements CrashGuard {
+	static final class RecordingCrashGuard implements CrashGuard {
 
-		final List<EndpointStart> living = new ArrayList<>();
+		final List<EndpointStart> answeredEndpoints = new ArrayList<>();
 
-		boolean suspects;
+		boolean trialsOnly;
 
 		private boolean claimed;
 
 		@Override
 		public Verdict verdict(RequestDigest request) {
-			if (!this.suspects) {
+			if (!this.trialsOnly) {
 				return Verdict.CLEAR;
 			}
 			return this.claimed ? Verdict.WAIT : Verdict.TRIAL;
@@ -294,17 +295,17 @@
 
 		@Override
 		public void fell(RequestDigest request, Backend endpoint) {
-			// Only signs of life count here.
+			// Only responses are recorded here.
 		}
 
 		@Override
 		public void survived(RequestDigest request) {
-			// Only signs of life count here.
+			// Only responses are recorded here.
 		}
 
 		@Override
 		public void answered(EndpointStart endpoint, long sentAt) {
-			this.living.add(endpoint);
+			this.answeredEndpoints.add(endpoint);
 		}
 
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/SendGateTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/SendGateTests.java
@@ -22,7 +22,7 @@
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
-	private final OneTrial guard = new OneTrial();
+	private final SingleTrialGuard guard = new SingleTrialGuard();
 
 	private String refused = "";
 
@@ -32,22 +32,22 @@
 			(reason, retryAfter) -> this.refused = reason);
 
 	/**
-	 * Guards against one trial that reaches several endpoints, each of which turns it
-	 * away.
+	 * Guards against a single trial that reaches several endpoints, each of which refuses
+	 * it.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "true, 2", "false, 1" })
-	void aTrialIsRepeatedOnlyIfItReachedNobody(boolean unreachable, int sendings) {
+	void trialIsRepeatedOnlyIfItReachedNoEndpoint(boolean undelivered, int expectedSends) {
 		send();
 		this.gate.sent();
-		if (unreachable) {
-			this.gate.notArrived();
+		if (undelivered) {
+			this.gate.notDelivered();
 		}
 		send();
-		Truth.assertThat(this.sent).isEqualTo(sendings);
+		Truth.assertThat(this.sent).isEqualTo(expectedSends);
 		Truth.assertThat(this.guard.claims).isEqualTo(1);
-		this.scheduler.advance(SendGate.LONGEST_WAIT.plus(Duration.ofSeconds(1)));
-		Truth.assertThat(this.refused.isEmpty()).isEqualTo(unreachable);
+		this.scheduler.advance(SendGate.MAX_WAIT.plus(Duration.ofSeconds(1)));
+		Truth.assertThat(this.refused.isEmpty()).isEqualTo(undelivered);
 	}
 
 	private void send() {
@@ -55,9 +55,9 @@
 	}
 
 	/**
-	 * Grants one trial, which has no outcome.
+	 * Grants a single trial, which has no outcome.
 	 */
-	private static final class OneTrial implements CrashGuard {
+	private static final class SingleTrialGuard implements CrashGuard {
 
 		private int claims;
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/StartQueueTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/StartQueueTests.java
@@ -20,7 +20,7 @@
 
 	private final List<String> taken = new ArrayList<>();
 
-	private final List<String> gone = new ArrayList<>();
+	private final List<String> disconnected = new ArrayList<>();
 
 	private final List<Duration> left = new ArrayList<>();
 
@@ -30,11 +30,11 @@
 
 	@ParameterizedTest
 	@CsvSource({ "20, 100, 110", "20, 495, 500", "400, 450, 460", "20, 10000, 500" })
-	void whatComesBeforeTheDaemonKnowsAnEndpointIsNotRefused(long askedAt, long readyAt, long takenBy) {
-		// Symptom: after a loss of all power callers are refused and come back half a
-		// second later, on their last try. Sequence: a daemon listens, a request comes,
-		// 0.1 s later the daemon knows the endpoints. Cause: it refused at once what it
-		// could serve a moment later.
+	void requestsBeforeReadinessAreHeldAndNotRefused(long askedAt, long readyAt, long takenBy) {
+		// Guards against refusing requests that could be served a moment later: after a
+		// loss of all power a daemon listens, a request arrives, and 0.1 s later the
+		// daemon knows the endpoints. A refused caller retries half a second later, which
+		// is its last try.
 		this.scheduler.schedule(Duration.ofMillis(readyAt), () -> this.ready = true);
 		this.scheduler.advance(Duration.ofMillis(askedAt));
 		this.queue.take(request("first"), null);
@@ -48,21 +48,21 @@
 	}
 
 	@Test
-	void laterRequestsAreNotHeld() {
-		this.scheduler.advance(StartQueue.LONGEST);
+	void requestsAfterTheMaximumHoldAreNotHeld() {
+		this.scheduler.advance(StartQueue.MAX_HOLD);
 		this.queue.take(request("late"), null);
 		Truth.assertThat(this.taken).containsExactly("late");
 	}
 
 	@Test
-	void aCallerThatLeavesMeanwhileIsNotServed() {
+	void heldRequestOfADisconnectedCallerIsDropped() {
 		this.queue.take(request("leaves"), null).run();
 		Runnable stays = this.queue.take(request("stays"), null);
 		this.ready = true;
 		this.scheduler.advance(Duration.ofMillis(20));
 		Truth.assertThat(this.taken).containsExactly("stays");
 		stays.run();
-		Truth.assertThat(this.gone).containsExactly("stays");
+		Truth.assertThat(this.disconnected).containsExactly("stays");
 	}
 
 	private static CallerRequest request(String id) {
@@ -73,7 +73,7 @@
 	private Runnable take(CallerRequest request, CallerReply reply) {
 		this.taken.add(request.id());
 		request.timeLeft().ifPresent(this.left::add);
-		return () -> this.gone.add(request.id());
+		return () -> this.disconnected.add(request.id());
 	}
 
 }
