--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendChannel.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendChannel.java
@@ -53,7 +53,7 @@
 		this.channel = channel;
 	}
 
-	void begin(BackendCall call) {
+	void send(BackendCall call) {
 		if (call.finished()) {
 			release();
 			return;
@@ -99,7 +99,7 @@
 			return;
 		}
 		if (message instanceof HttpResponse head) {
-			begin(head);
+			startResponse(head);
 		}
 		if (message instanceof HttpContent content) {
 			forward(content);
@@ -122,7 +122,7 @@
 		failCall((this.failure != null) ? this.failure : "connection closed by the endpoint");
 	}
 
-	private void begin(HttpResponse head) {
+	private void startResponse(HttpResponse head) {
 		this.interim = head.status().code() < FIRST_FINAL_STATUS;
 		if (this.interim) {
 			return;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendConnections.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendConnections.java
@@ -94,7 +94,7 @@
 			this.reused++;
 			this.loop.execute(() -> {
 				if (reused.isReusable()) {
-					reused.begin(call);
+					reused.send(call);
 				}
 				else {
 					connect(to, call);
@@ -190,7 +190,7 @@
 		call.connectFuture(connected);
 		connected.addListener((future) -> {
 			if (future.isSuccess()) {
-				connected.channel().pipeline().get(BackendChannel.class).begin(call);
+				connected.channel().pipeline().get(BackendChannel.class).send(call);
 			}
 			else {
 				call.failed(false, "connect: " + future.cause().getMessage());
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/DeferredRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/DeferredRequest.java
@@ -7,7 +7,7 @@
 import org.bramleyscale.internal.time.Cancellable;
 
 /**
- * A long prompt that is deferred in this daemon because its engines are still prefilling
+ * A request that is deferred in this daemon because its engines are still prefilling
  * other prompts. Its demand is shared with other daemons while it is deferred.
  *
  * <p>
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/EventSplitter.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/EventSplitter.java
@@ -49,7 +49,7 @@
 	}
 
 	/**
-	 * Finds the empty line that ends an event.
+	 * Finds the end of the empty line that terminates an event.
 	 * @param bytes the bytes
 	 * @param from the start of the event
 	 * @return the position after the empty line, or -1 if it hasn't arrived yet
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayedRequestTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayedRequestTests.java
@@ -156,7 +156,7 @@
 		// Guards against treating engines that still prefill other prompts as failed:
 		// when twenty long prompts arrived within 3 s, prompts that would have been
 		// served in 8 s were prefilled twice and ended after 12 s without a response. A
-		// prompt without helpers is moved at once, since prefilling it again is quick.
+		// prompt without helpers gets no extension, since prefilling it again is quick.
 		this.fixture.scriptedPlacements.add(Placement.at(this.fixture.engine("a"),
 				(helpers > 0) ? List.of(this.fixture.engine("b")) : List.of(), 0, 0, "split"));
 		this.fixture.call("/stream/1");
