--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FakeFleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedFleet.java
@@ -21,46 +21,50 @@
 import org.bramleyscale.internal.time.PausableScheduler;
 
 /**
- * A fleet of daemons that follow one store, on a manual clock.
+ * A simulated fleet of daemons that follow one store, on a manual clock.
  *
  * <p>
- * Each daemon is a real follower with a real exchange of copies; the store and the
- * connections are played. The daemons are in ranked order. Messages between two daemons
- * arrive in the order of sending. Confined to the test's thread.
+ * Each daemon has a real follower and a real exchange of copies; the store and the
+ * connections are simulated. The daemons are in the order of their ranks. Messages
+ * between two daemons arrive in the order in which they were sent. Confined to the test's
+ * thread.
  */
-final class FakeFleet {
+final class SimulatedFleet {
 
-	/** Daemons don't start in step; if they did, their rounds would meet for ever. */
+	/**
+	 * The delay between the starts of daemons. Without it all rounds of digests would
+	 * coincide for the whole test.
+	 */
 	private static final Duration START_GAP = Duration.ofMillis(17);
 
 	private final ManualScheduler scheduler;
 
-	private final PlayedStore store;
+	private final SimulatedStore store;
 
 	private final FollowTimes times;
 
 	private final List<Daemon> daemons = new ArrayList<>();
 
-	private Topology topology = new AllWithAll();
+	private Topology topology = new FullMesh();
 
 	private int copiesSent;
 
 	private boolean tooLarge;
 
 	/**
-	 * Makes a fleet without daemons.
+	 * Creates a fleet without daemons.
 	 * @param scheduler the clock of the store and of all daemons
 	 * @param within the time within which a change must be in force
 	 */
-	FakeFleet(ManualScheduler scheduler, Duration within) {
+	SimulatedFleet(ManualScheduler scheduler, Duration within) {
 		this.scheduler = scheduler;
-		this.store = new PlayedStore(scheduler);
+		this.store = new SimulatedStore(scheduler);
 		this.times = FollowTimes.within(within);
 	}
 
 	/**
 	 * Starts daemons one after the other.
-	 * @param count how many
+	 * @param count the number of daemons
 	 */
 	void start(int count) {
 		for (int i = 0; i < count; i++) {
@@ -91,25 +95,25 @@
 		return this.daemons;
 	}
 
-	PlayedStore store() {
+	SimulatedStore store() {
 		return this.store;
 	}
 
 	/**
-	 * Messages with copies in them.
-	 * @return how many daemons sent to each other since the start
+	 * The number of messages with copies.
+	 * @return how many the daemons have sent to each other since the start
 	 */
 	int copiesSent() {
 		return this.copiesSent;
 	}
 
-	/** From now on objects are too large to be sent from daemon to daemon. */
-	void refuseCopies() {
+	/** Makes objects too large to be sent between daemons from now on. */
+	void rejectCopies() {
 		this.tooLarge = true;
 	}
 
 	/**
-	 * Who is connected with whom, and who passes on what.
+	 * The connections between daemons and the routes of updates.
 	 */
 	interface Topology {
 
@@ -121,14 +125,14 @@
 		Set<Integer> connected(int rank);
 
 		/**
-		 * Whom a daemon tells what it read from the store.
+		 * The recipients of what a daemon read from the store.
 		 * @param rank its rank
 		 * @return their ranks
 		 */
 		Set<Integer> firstHand(int rank);
 
 		/**
-		 * Whom a daemon tells what a peer told.
+		 * The peers to which a daemon forwards an update of a peer.
 		 * @param rank its rank
 		 * @param from the peer's rank
 		 * @return their ranks
@@ -138,14 +142,14 @@
 	}
 
 	/**
-	 * All daemons are connected with all, as in a small fleet.
+	 * A full mesh, as in a small fleet.
 	 */
-	private final class AllWithAll implements Topology {
+	private final class FullMesh implements Topology {
 
 		@Override
 		public Set<Integer> connected(int rank) {
 			Set<Integer> others = new TreeSet<>();
-			FakeFleet.this.daemons.stream()
+			SimulatedFleet.this.daemons.stream()
 				.filter((daemon) -> daemon.rank != rank)
 				.forEach((daemon) -> others.add(daemon.rank));
 			return others;
@@ -164,12 +168,12 @@
 	}
 
 	/**
-	 * One daemon, with its end of the connections with its peers.
+	 * One daemon and its side of the connections to its peers.
 	 */
 	final class Daemon implements PeerNetwork, NewsRoutes, FollowOrder {
 
-		/** What a message between two daemons takes on a link that isn't busy. */
-		private static final Duration TRAVEL = Duration.ofMillis(1);
+		/** The transmission time of a message between two daemons on an idle link. */
+		private static final Duration LINK_DELAY = Duration.ofMillis(1);
 
 		private final int rank;
 
@@ -180,17 +184,17 @@
 		private final FollowedKind copies = new FollowedKind((object) -> {
 		});
 
-		private final PausableScheduler clock = new PausableScheduler(FakeFleet.this.scheduler);
+		private final PausableScheduler clock = new PausableScheduler(SimulatedFleet.this.scheduler);
 
-		private final PlayedStore.Access store = FakeFleet.this.store.new Access(this.clock);
+		private final SimulatedStore.Access store = SimulatedFleet.this.store.new Access(this.clock);
 
 		private final PeerCopies exchange;
 
 		private final StoreFollower follower;
 
-		private boolean peers = true;
+		private boolean connectedToPeers = true;
 
-		private Duration queued = Duration.ZERO;
+		private Duration queueDelay = Duration.ZERO;
 
 		private long arrivesAt;
 
@@ -199,12 +203,12 @@
 		private Daemon(int rank) {
 			this.rank = rank;
 			this.self = new Incarnation(new VmId("d" + rank), 1);
-			this.exchange = new PeerCopies(this.self, this.clock, this, Map.of(PlayedStore.KIND, this.copies), this,
+			this.exchange = new PeerCopies(this.self, this.clock, this, Map.of(SimulatedStore.KIND, this.copies), this,
 					DecisionLog.NONE);
-			this.follower = new StoreFollower(PlayedStore.KIND, this.clock, new Random(rank), this.store, this.copies,
-					this, FakeFleet.this.times, DecisionLog.NONE);
-			this.follower
-				.onNews((from) -> this.exchange.push(PlayedStore.KIND, from, this.follower.sinceOutage(), rank == 0));
+			this.follower = new StoreFollower(SimulatedStore.KIND, this.clock, new Random(rank), this.store,
+					this.copies, this, SimulatedFleet.this.times, DecisionLog.NONE);
+			this.follower.onUpdate(
+					(from) -> this.exchange.push(SimulatedStore.KIND, from, this.follower.sinceOutage(), rank == 0));
 		}
 
 		private void start() {
@@ -212,77 +216,77 @@
 			this.exchange.start();
 		}
 
-		PlayedStore.Access store() {
+		SimulatedStore.Access store() {
 			return this.store;
 		}
 
 		/**
-		 * For how long the store hasn't been away, by the daemon's own calls and what
-		 * peers say.
+		 * The time since the last outage of the store, by the daemon's own calls and the
+		 * reports of its peers.
 		 * @return the time
 		 */
 		Duration sinceOutage() {
 			Duration own = this.follower.sinceOutage();
-			Duration heard = this.exchange.sinceOutage();
-			return (own.compareTo(heard) < 0) ? own : heard;
+			Duration reported = this.exchange.sinceOutage();
+			return (own.compareTo(reported) < 0) ? own : reported;
 		}
 
-		boolean hearsPeers() {
-			return this.peers;
+		boolean connectedToPeers() {
+			return this.connectedToPeers;
 		}
 
 		/**
-		 * Has the daemon's process stand still.
+		 * Suspends the daemon's process.
 		 * @param span for how long
 		 */
 		void freeze(Duration span) {
 			this.frozenUntil = Math.max(this.frozenUntil, this.clock.nanos() + span.toNanos());
 			this.clock.pause();
-			FakeFleet.this.scheduler.schedule(span, this::thaw);
+			SimulatedFleet.this.scheduler.schedule(span, this::unfreeze);
 		}
 
-		private void thaw() {
+		private void unfreeze() {
 			if (this.clock.nanos() >= this.frozenUntil) {
 				this.clock.resume();
 			}
 		}
 
-		/** Ends the daemon's connections with its peers. */
-		void losePeers() {
-			this.peers = false;
+		/** Closes the daemon's connections to its peers. */
+		void disconnectPeers() {
+			this.connectedToPeers = false;
 		}
 
-		/** Ends all that the daemon hears, without an error. */
-		void cutOff() {
-			losePeers();
-			this.store.link(PlayedStore.Link.SILENT);
+		/** Cuts the daemon off from its peers and the store, without an error. */
+		void isolate() {
+			disconnectPeers();
+			this.store.link(SimulatedStore.Link.SILENT);
 		}
 
 		/**
-		 * Sets how long what the daemon sends from now on waits before it travels.
+		 * Sets the queueing delay of the daemon's messages from now on.
 		 * @param time the time in queues
 		 */
-		void queued(Duration time) {
-			this.queued = time;
+		void queueDelay(Duration time) {
+			this.queueDelay = time;
 		}
 
 		boolean knows(String name) {
-			return this.copies.after(0).stream().anyMatch((copy) -> copy.name().equals(name));
+			return this.copies.changedAfter(0).stream().anyMatch((copy) -> copy.name().equals(name));
 		}
 
 		@Override
 		public boolean send(VmId to, PeerMessage message) {
-			if (message instanceof CopiesTold told && !told.objects().isEmpty()) {
-				if (FakeFleet.this.tooLarge) {
+			if (message instanceof CopiesTold update && !update.objects().isEmpty()) {
+				if (SimulatedFleet.this.tooLarge) {
 					return false;
 				}
-				FakeFleet.this.copiesSent++;
+				SimulatedFleet.this.copiesSent++;
 			}
-			long now = FakeFleet.this.scheduler.nanos();
-			this.arrivesAt = Math.max(this.arrivesAt, now + this.queued.plus(TRAVEL).toNanos());
-			for (Daemon other : FakeFleet.this.daemons) {
-				if (other.self.vm().equals(to) && this.peers && other.peers) {
-					FakeFleet.this.scheduler.schedule(Duration.ofNanos(this.arrivesAt - now),
+			long now = SimulatedFleet.this.scheduler.nanos();
+			this.arrivesAt = Math.max(this.arrivesAt, now + this.queueDelay.plus(LINK_DELAY).toNanos());
+			for (Daemon other : SimulatedFleet.this.daemons) {
+				if (other.self.vm().equals(to) && this.connectedToPeers && other.connectedToPeers) {
+					SimulatedFleet.this.scheduler.schedule(Duration.ofNanos(this.arrivesAt - now),
 							() -> other.clock.execute(() -> other.received(this, message)));
 				}
 			}
@@ -296,7 +300,7 @@
 
 		@Override
 		public Set<VmId> connected() {
-			return vms(FakeFleet.this.topology.connected(this.rank));
+			return vms(SimulatedFleet.this.topology.connected(this.rank));
 		}
 
 		@Override
@@ -306,12 +310,12 @@
 
 		@Override
 		public Collection<VmId> firstHand() {
-			return vms(FakeFleet.this.topology.firstHand(this.rank));
+			return vms(SimulatedFleet.this.topology.firstHand(this.rank));
 		}
 
 		@Override
 		public Collection<VmId> passedOn(VmId from) {
-			return vms(FakeFleet.this.topology.passedOn(this.rank, Integer.parseInt(from.value().substring(1))));
+			return vms(SimulatedFleet.this.topology.passedOn(this.rank, Integer.parseInt(from.value().substring(1))));
 		}
 
 		private static Set<VmId> vms(Set<Integer> ranks) {
@@ -326,8 +330,8 @@
 		}
 
 		@Override
-		public boolean alone() {
-			return this.exchange.alone();
+		public boolean isolated() {
+			return this.exchange.isolated();
 		}
 
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/PlayedStore.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedStore.java
@@ -17,16 +17,16 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * A store on a manual clock that many daemons follow, each by an access of its own that
- * can be taken away. Confined to the test's thread.
+ * A simulated store on a manual clock. Each daemon follows it through an access of its
+ * own, for which calls can be made to fail. Confined to the test's thread.
  */
-final class PlayedStore {
+final class SimulatedStore {
 
-	/** The kind of all objects here. */
+	/** The kind of all objects. */
 	static final String KIND = "servers";
 
-	/** The time limit of a call beyond what it asks the store to wait. */
-	private static final Duration UNANSWERED = Duration.ofMillis(1_200);
+	/** The time-out of a call beyond the time that it asks the store to wait. */
+	private static final Duration CALL_OVERRUN = Duration.ofMillis(1_200);
 
 	private static final Duration REFUSAL = Duration.ofMillis(4);
 
@@ -34,18 +34,18 @@
 
 	private final Map<String, StoredObject> stored = new TreeMap<>();
 
-	private final List<Waiting> waiting = new ArrayList<>();
+	private final List<PendingWatch> pendingWatches = new ArrayList<>();
 
 	private long revision = 1;
 
 	private int calls;
 
-	PlayedStore(ManualScheduler scheduler) {
+	SimulatedStore(ManualScheduler scheduler) {
 		this.scheduler = scheduler;
 	}
 
 	/**
-	 * Calls to the store.
+	 * The number of calls to the store.
 	 * @return how many were made since the start
 	 */
 	int calls() {
@@ -53,21 +53,21 @@
 	}
 
 	/**
-	 * Writes an object, which answers the watches that wait.
+	 * Writes an object, which completes the pending watches.
 	 * @param name the object's name
 	 */
 	void change(String name) {
 		this.revision++;
 		StoredObject object = new StoredObject(new ObjectKey(KIND, name), this.revision, new byte[1]);
 		this.stored.put(name, object);
-		List<Waiting> answered = this.waiting.stream().filter((call) -> !call.deaf).toList();
-		this.waiting.removeAll(answered);
+		List<PendingWatch> answered = this.pendingWatches.stream().filter((call) -> !call.silent).toList();
+		this.pendingWatches.removeAll(answered);
 		answered.forEach((call) -> call.answer(new WatchBatch(this.revision, false, List.of(object))));
 	}
 
-	/** Makes every connection on which a watch waits silent. */
-	void deafen() {
-		this.waiting.forEach((call) -> call.deaf = true);
+	/** Makes the connection of every pending watch silent. */
+	void silenceWatches() {
+		this.pendingWatches.forEach((call) -> call.silent = true);
 	}
 
 	private CompletableFuture<WatchBatch> failing(Duration after) {
@@ -82,7 +82,7 @@
 	}
 
 	/**
-	 * What becomes of a daemon's calls to the store.
+	 * The outcome of a daemon's calls to the store.
 	 */
 	enum Link {
 
@@ -106,15 +106,15 @@
 		private int calls;
 
 		/**
-		 * Makes a daemon's access.
-		 * @param process runs what follows from an answer
+		 * Creates a daemon's access.
+		 * @param process runs the callbacks of calls
 		 */
 		Access(Scheduler process) {
 			this.process = process;
 		}
 
 		/**
-		 * When the daemon last took an answer.
+		 * The time at which the daemon last received an answer.
 		 * @return the time, by the scheduler
 		 */
 		long answeredAt() {
@@ -126,14 +126,14 @@
 		}
 
 		/**
-		 * Changes what becomes of calls, the one under way included.
-		 * @param newLink what becomes of them
+		 * Changes the outcome of calls, including the pending one.
+		 * @param newLink the new outcome
 		 */
 		void link(Link newLink) {
 			this.link = newLink;
-			PlayedStore.this.waiting.stream()
+			SimulatedStore.this.pendingWatches.stream()
 				.filter((call) -> call.call == this.watch)
-				.forEach((call) -> call.deaf = true);
+				.forEach((call) -> call.silent = true);
 		}
 
 		int calls() {
@@ -144,77 +144,77 @@
 		public CompletableFuture<WatchBatch> list(String kind) {
 			count();
 			if (this.link != Link.WORKS) {
-				return heard(unanswered(Duration.ZERO));
+				return deliver(unanswered(Duration.ZERO));
 			}
-			return heard(CompletableFuture.completedFuture(
-					new WatchBatch(PlayedStore.this.revision, false, List.copyOf(PlayedStore.this.stored.values()))));
+			return deliver(CompletableFuture.completedFuture(new WatchBatch(SimulatedStore.this.revision, false,
+					List.copyOf(SimulatedStore.this.stored.values()))));
 		}
 
 		@Override
 		public CompletableFuture<WatchBatch> watch(String kind, long after, Duration wait) {
 			count();
 			this.watch = (this.link == Link.WORKS) ? answered(after, wait) : unanswered(wait);
-			return heard(this.watch);
+			return deliver(this.watch);
 		}
 
 		private CompletableFuture<WatchBatch> answered(long after, Duration wait) {
-			List<StoredObject> changed = PlayedStore.this.stored.values()
+			List<StoredObject> changed = SimulatedStore.this.stored.values()
 				.stream()
 				.filter((object) -> object.version() > after)
 				.toList();
 			if (!changed.isEmpty()) {
-				return CompletableFuture.completedFuture(new WatchBatch(PlayedStore.this.revision, false, changed));
+				return CompletableFuture.completedFuture(new WatchBatch(SimulatedStore.this.revision, false, changed));
 			}
 			CompletableFuture<WatchBatch> call = new CompletableFuture<>();
-			PlayedStore.this.waiting.add(new Waiting(call, wait));
+			SimulatedStore.this.pendingWatches.add(new PendingWatch(call, wait));
 			return call;
 		}
 
 		private CompletableFuture<WatchBatch> unanswered(Duration wait) {
-			return failing((this.link == Link.REFUSED) ? REFUSAL : wait.plus(UNANSWERED));
+			return failing((this.link == Link.REFUSED) ? REFUSAL : wait.plus(CALL_OVERRUN));
 		}
 
-		private CompletableFuture<WatchBatch> heard(CompletableFuture<WatchBatch> call) {
-			CompletableFuture<WatchBatch> heard = new CompletableFuture<>();
+		private CompletableFuture<WatchBatch> deliver(CompletableFuture<WatchBatch> call) {
+			CompletableFuture<WatchBatch> delivered = new CompletableFuture<>();
 			call.whenComplete((batch, failure) -> this.process.execute(() -> {
 				if (failure != null) {
-					heard.completeExceptionally(failure);
+					delivered.completeExceptionally(failure);
 					return;
 				}
-				this.answeredAt = PlayedStore.this.scheduler.nanos();
-				heard.complete(batch);
+				this.answeredAt = SimulatedStore.this.scheduler.nanos();
+				delivered.complete(batch);
 			}));
-			return heard;
+			return delivered;
 		}
 
 		private void count() {
 			this.calls++;
-			PlayedStore.this.calls++;
+			SimulatedStore.this.calls++;
 		}
 
 	}
 
 	/**
-	 * A watch that the store holds.
+	 * A pending watch.
 	 */
-	private final class Waiting {
+	private final class PendingWatch {
 
 		private final CompletableFuture<WatchBatch> call;
 
 		private final Cancellable end;
 
-		private boolean deaf;
+		private boolean silent;
 
-		private Waiting(CompletableFuture<WatchBatch> call, Duration wait) {
+		private PendingWatch(CompletableFuture<WatchBatch> call, Duration wait) {
 			this.call = call;
-			this.end = PlayedStore.this.scheduler.schedule(wait, this::expire);
-			failLater(call, wait.plus(UNANSWERED));
+			this.end = SimulatedStore.this.scheduler.schedule(wait, this::expire);
+			failLater(call, wait.plus(CALL_OVERRUN));
 		}
 
 		private void expire() {
-			if (!this.deaf) {
-				PlayedStore.this.waiting.remove(this);
-				this.call.complete(new WatchBatch(PlayedStore.this.revision, false, List.of()));
+			if (!this.silent) {
+				SimulatedStore.this.pendingWatches.remove(this);
+				this.call.complete(new WatchBatch(SimulatedStore.this.revision, false, List.of()));
 			}
 		}
 
