--- a/standins/src/main/java/org/bramleyscale/standins/platform/InMemoryObjectStore.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/InMemoryObjectStore.java
@@ -16,12 +16,13 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * The platform's object API without a network.
+ * Client of the platform's object API that calls it in memory, without a network.
  *
  * <p>
- * One instance belongs to one caller and can be cut off from the platform by itself.
- * Calls run on the platform's scheduler, futures complete on the caller's; with a manual
- * scheduler both are the same. Safe for use from the caller's thread.
+ * Each instance belongs to one caller and can be partitioned from the platform
+ * independently of others. Calls run on the platform's scheduler, futures complete on the
+ * caller's; with a manual scheduler both are the same. Safe for use from the caller's
+ * thread.
  */
 public final class InMemoryObjectStore implements ObjectStore {
 
@@ -34,7 +35,7 @@
 	private boolean cutOff;
 
 	/**
-	 * Creates a caller's access.
+	 * Creates a caller's client.
 	 * @param scheduler the caller's scheduler
 	 * @param service the platform
 	 * @param timeout how long a call may take
@@ -46,8 +47,9 @@
 	}
 
 	/**
-	 * Cuts this caller off, so that no call arrives, or joins it again.
-	 * @param cutOff whether calls get lost on their way
+	 * Partitions this caller from the platform, so that its calls are lost, or reconnects
+	 * it.
+	 * @param cutOff true to lose calls before they arrive
 	 */
 	public void cutOff(boolean cutOff) {
 		this.cutOff = cutOff;
@@ -83,21 +85,22 @@
 		return call(PlatformOperation.VMS, this.timeout, this.service::vms);
 	}
 
-	private <T> CompletableFuture<T> call(PlatformOperation operation, Duration limit,
+	private <T> CompletableFuture<T> call(PlatformOperation operation, Duration callTimeout,
 			Supplier<CompletableFuture<T>> request) {
 		CompletableFuture<T> result = new CompletableFuture<>();
-		Cancellable expiry = this.scheduler.schedule(limit, () -> result.completeExceptionally(expired(operation)));
+		Cancellable timeoutTask = this.scheduler.schedule(callTimeout,
+				() -> result.completeExceptionally(timeoutException(operation)));
 		if (!this.cutOff) {
 			this.service.scheduler()
 				.execute(() -> request.get()
 					.whenComplete((value, failure) -> this.scheduler
-						.execute(() -> complete(result, expiry, value, failure))));
+						.execute(() -> complete(result, timeoutTask, value, failure))));
 		}
 		return result;
 	}
 
-	private static <T> void complete(CompletableFuture<T> result, Cancellable expiry, T value, Throwable failure) {
-		expiry.cancel();
+	private static <T> void complete(CompletableFuture<T> result, Cancellable timeoutTask, T value, Throwable failure) {
+		timeoutTask.cancel();
 		if (failure == null) {
 			result.complete(value);
 		}
@@ -106,10 +109,10 @@
 		}
 	}
 
-	private static PlatformException expired(PlatformOperation operation) {
+	private static PlatformException timeoutException(PlatformOperation operation) {
 		PlatformException.Kind kind = (operation.changes()) ? PlatformException.Kind.UNKNOWN_OUTCOME
 				: PlatformException.Kind.UNAVAILABLE;
-		return new PlatformException(kind, operation + " brought no reply in time");
+		return new PlatformException(kind, operation + " timed out without a reply");
 	}
 
 }
--- a/standins/src/main/java/org/bramleyscale/standins/platform/ObjectKind.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/ObjectKind.java
@@ -14,11 +14,12 @@
 import org.bramleyscale.internal.platform.WatchBatch;
 
 /**
- * The objects of one kind with the latest part of their history.
+ * The objects of one kind and their recent change history.
  *
  * <p>
- * Invariant: the revision grows by one at each change. A watch that looks back further
- * than the history, or over a deletion, gets a gap. Confined to one thread.
+ * Invariant: the revision grows by one with each change. A watch that starts before the
+ * oldest change in the history, or spans a deletion, returns a gap. Confined to one
+ * thread.
  */
 final class ObjectKind {
 
@@ -95,7 +96,7 @@
 	}
 
 	/**
-	 * One change; without an object if it was a deletion.
+	 * One change; the object is null if it was a deletion.
 	 */
 	private record Change(long revision, StoredObject object) {
 	}
--- a/standins/src/main/java/org/bramleyscale/standins/platform/PlatformAdmin.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/PlatformAdmin.java
@@ -12,11 +12,11 @@
 import ratpack.handling.Context;
 
 /**
- * The part of the platform stand-in that tests and operators of a demo use: faults and
- * counts of calls.
+ * Admin routes of the platform stand-in, for tests and demos: fault injection and call
+ * counts.
  *
  * <p>
- * Reads and writes the platform's state on its own thread. Safe for use by multiple
+ * Accesses the platform's state on the platform's thread. Safe for use by multiple
  * threads.
  */
 final class PlatformAdmin {
@@ -62,11 +62,11 @@
 	}
 
 	private void send(Context context, Factory<?> action) {
-		Promise.<Object>async((downstream) -> this.service.scheduler().execute(() -> forward(action, downstream)))
+		Promise.<Object>async((downstream) -> this.service.scheduler().execute(() -> complete(action, downstream)))
 			.then((result) -> context.getResponse().send("application/json", mapper.writeValueAsBytes(result)));
 	}
 
-	private static void forward(Factory<?> action, Downstream<? super Object> downstream) {
+	private static void complete(Factory<?> action, Downstream<? super Object> downstream) {
 		try {
 			downstream.success(action.create());
 		}
@@ -76,7 +76,7 @@
 	}
 
 	/**
-	 * The JSON form of a fault; operation, calls and delay may be left out.
+	 * The JSON form of a fault; operation, calls and delay are optional.
 	 */
 	private record FaultDocument(PlatformFault.Kind kind, PlatformOperation operation, int calls, long delayMillis) {
 
--- a/standins/src/main/java/org/bramleyscale/standins/platform/PlatformFault.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/PlatformFault.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /**
- * One fault of the platform, as it is ordered.
+ * A fault to inject into calls of the platform.
  *
- * @param kind what goes wrong
- * @param operation the operation it strikes, or null for all
- * @param calls how many calls it strikes, or 0 for all until it is cleared
- * @param delay how long a slow call takes; zero for the other kinds
+ * @param kind the kind of fault
+ * @param operation the operation it applies to, or null for all
+ * @param calls how many calls it applies to, or 0 for all until it is cleared
+ * @param delay the delay of a slow call or reply; zero for the other kinds
  */
 public record PlatformFault(Kind kind, PlatformOperation operation, int calls, Duration delay) {
 
 	public PlatformFault {
 		if (kind == null) {
-			throw new IllegalArgumentException("fault needs a kind");
+			throw new IllegalArgumentException("kind must not be null");
 		}
 		if (calls < 0) {
 			throw new IllegalArgumentException("calls must not be negative, was " + calls);
@@ -40,12 +40,12 @@
 		return new PlatformFault(this.kind, this.operation, this.calls, delay);
 	}
 
-	boolean strikes(PlatformOperation operation) {
+	boolean appliesTo(PlatformOperation operation) {
 		return this.operation == null || this.operation == operation;
 	}
 
 	/**
-	 * What can go wrong.
+	 * The kinds of faults.
 	 */
 	public enum Kind {
 
@@ -64,10 +64,10 @@
 		/** The call takes effect and no reply comes. */
 		LOST_REPLY,
 
-		/** A write or delete conflicts whatever version it expects. */
+		/** A write or delete fails with a conflict whatever version it expects. */
 		CONFLICT,
 
-		/** A watch has lost changes. */
+		/** A watch reports a gap, as if changes had been lost. */
 		GAP
 
 	}
--- a/standins/src/main/java/org/bramleyscale/standins/platform/PlatformFaults.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/PlatformFaults.java
@@ -6,18 +6,18 @@
 import java.util.List;
 
 /**
- * The faults that the platform shows at present.
+ * The faults currently injected into the platform.
  *
  * <p>
- * Several faults may strike one call; their delays add up. Confined to the thread of the
- * platform's scheduler, or to a test's.
+ * Several faults may apply to one call; their delays add up. Confined to the thread of
+ * the platform's scheduler or of a test.
  */
 public final class PlatformFaults {
 
 	private final List<Entry> entries = new ArrayList<>();
 
 	/**
-	 * Adds a fault.
+	 * Injects a fault.
 	 * @param fault the fault
 	 */
 	public void inject(PlatformFault fault) {
@@ -32,52 +32,52 @@
 		return this.entries.stream().map((entry) -> entry.fault).toList();
 	}
 
-	Effect strike(PlatformOperation operation) {
-		List<PlatformFault> struck = new ArrayList<>();
+	Effect apply(PlatformOperation operation) {
+		List<PlatformFault> faults = new ArrayList<>();
 		Iterator<Entry> iterator = this.entries.iterator();
 		while (iterator.hasNext()) {
 			Entry entry = iterator.next();
-			if (entry.fault.strikes(operation)) {
-				struck.add(entry.fault);
-				if (entry.usedUp()) {
+			if (entry.fault.appliesTo(operation)) {
+				faults.add(entry.fault);
+				if (entry.usedUpByCall()) {
 					iterator.remove();
 				}
 			}
 		}
-		return new Effect(struck);
+		return new Effect(faults);
 	}
 
 	/**
-	 * A fault with the calls it still strikes.
+	 * A fault and the number of calls it has been applied to.
 	 */
 	private static final class Entry {
 
 		private final PlatformFault fault;
 
-		private int struck;
+		private int calls;
 
 		private Entry(PlatformFault fault) {
 			this.fault = fault;
 		}
 
-		private boolean usedUp() {
-			this.struck++;
-			return this.fault.calls() > 0 && this.struck >= this.fault.calls();
+		private boolean usedUpByCall() {
+			this.calls++;
+			return this.fault.calls() > 0 && this.calls >= this.fault.calls();
 		}
 
 	}
 
 	/**
-	 * The faults that strike one call.
+	 * The faults that apply to one call.
 	 */
-	record Effect(List<PlatformFault> struck) {
+	record Effect(List<PlatformFault> faults) {
 
 		boolean has(PlatformFault.Kind kind) {
-			return this.struck.stream().anyMatch((fault) -> fault.kind() == kind);
+			return this.faults.stream().anyMatch((fault) -> fault.kind() == kind);
 		}
 
 		Duration delay(PlatformFault.Kind kind) {
-			return this.struck.stream()
+			return this.faults.stream()
 				.filter((fault) -> fault.kind() == kind)
 				.map(PlatformFault::delay)
 				.reduce(Duration.ZERO, Duration::plus);
--- a/standins/src/main/java/org/bramleyscale/standins/platform/PlatformLimits.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/PlatformLimits.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * The limits of the platform.
+ * The rate limits, watch history and VM list lag of the platform.
  *
- * @param writesPerSecond writes and deletes it takes
- * @param readsPerSecond other calls it takes, a waiting watch as one
- * @param historyLength changes per kind that a watch can look back on
- * @param vmListLag how late a change of the VMs shows in the list
+ * @param writesPerSecond writes and deletes accepted per second
+ * @param readsPerSecond other calls accepted per second; a waiting watch counts as one
+ * @param historyLength changes kept per kind for watches
+ * @param vmListLag delay until a change of the VMs appears in the list
  */
 public record PlatformLimits(int writesPerSecond, int readsPerSecond, int historyLength, Duration vmListLag) {
 
-	/** What the users' platform takes today. */
+	/** The limits of the users' current platform. */
 	public static final PlatformLimits DEFAULT = new PlatformLimits(300, 2000, 1000, Duration.ofSeconds(5));
 
 	public PlatformLimits {
@@ -36,9 +36,9 @@
 		return new PlatformLimits(this.writesPerSecond, this.readsPerSecond, this.historyLength, vmListLag);
 	}
 
-	private static void requirePositive(String what, int value) {
+	private static void requirePositive(String name, int value) {
 		if (value <= 0) {
-			throw new IllegalArgumentException(what + " must be positive, was " + value);
+			throw new IllegalArgumentException(name + " must be positive, was " + value);
 		}
 	}
 
--- a/standins/src/main/java/org/bramleyscale/standins/platform/PlatformOperation.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/PlatformOperation.java
@@ -17,15 +17,15 @@
 	/** Deleting an object. */
 	DELETE,
 
-	/** Waiting for changes of a kind. */
+	/** Waiting for changes to objects of a kind. */
 	WATCH,
 
 	/** Reading the list of VMs. */
 	VMS;
 
 	/**
-	 * Whether the operation counts against the rate of writes.
-	 * @return false if it counts against the rate of reads
+	 * Whether the operation modifies objects and counts against the write rate.
+	 * @return false if it counts against the read rate
 	 */
 	public boolean changes() {
 		return this == WRITE || this == DELETE;
--- a/standins/src/main/java/org/bramleyscale/standins/platform/PlatformServer.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/PlatformServer.java
@@ -23,8 +23,8 @@
  * The platform stand-in as an HTTP server on the loopback address.
  *
  * <p>
- * A call whose reply is to be lost gets no response at all. Safe for use by multiple
- * threads.
+ * A call whose reply is lost by an injected fault never gets a response. Safe for use by
+ * multiple threads.
  */
 public final class PlatformServer implements AutoCloseable {
 
@@ -46,7 +46,7 @@
 	 * Starts the server.
 	 * @param port the port, or 0 for any
 	 * @param limits the platform's limits
-	 * @throws Exception if the port can't be bound
+	 * @throws Exception if the port cannot be bound
 	 */
 	public PlatformServer(int port, PlatformLimits limits) throws Exception {
 		this.loop = new EventLoop("platform");
@@ -63,7 +63,7 @@
 	}
 
 	/**
-	 * The address that daemons call.
+	 * Returns the address that daemons connect to.
 	 * @return {@code host:port}
 	 */
 	public String address() {
@@ -73,7 +73,7 @@
 	/**
 	 * Changes faults or VMs from within the process.
 	 * @param change runs on the platform's thread
-	 * @return completes once the change is made
+	 * @return completes once the change has been made
 	 */
 	public CompletableFuture<Void> change(Consumer<PlatformService> change) {
 		return CompletableFuture.runAsync(() -> change.accept(this.service), this.loop::execute);
@@ -87,7 +87,7 @@
 
 	private void routes(Chain chain) throws Exception {
 		chain.path(PlatformPaths.OBJECTS + "/:" + KIND + "/:" + NAME, this::object);
-		chain.get(PlatformPaths.OBJECTS + "/:" + KIND, this::kind);
+		chain.get(PlatformPaths.OBJECTS + "/:" + KIND, this::listOrWatch);
 		chain.path(PlatformPaths.VMS, this::vms);
 		chain.delete(PlatformPaths.VMS + "/:" + NAME, this::removeVm);
 		chain.prefix("admin", (admin) -> new PlatformAdmin(this.service).routes(admin));
@@ -100,7 +100,7 @@
 
 	private void read(Context context) {
 		ObjectKey key = key(context);
-		answer(context, () -> this.service.read(key), (found) -> {
+		respond(context, () -> this.service.read(key), (found) -> {
 			if (found.isPresent()) {
 				sendObject(context, found.get());
 			}
@@ -112,11 +112,11 @@
 
 	private void write(Context context) {
 		ObjectKey key = key(context);
-		long expected = number(context, PlatformPaths.EXPECTED);
+		long expected = longParameter(context, PlatformPaths.EXPECTED);
 		context.getRequest().getBody().then((body) -> {
 			byte[] value = body.getBytes();
-			answer(context, () -> this.service.write(key, value, expected), (stored) -> {
-				version(context, stored);
+			respond(context, () -> this.service.write(key, value, expected), (stored) -> {
+				setVersionHeader(context, stored);
 				context.getResponse().send();
 			});
 		});
@@ -124,21 +124,21 @@
 
 	private void delete(Context context) {
 		ObjectKey key = key(context);
-		long expected = number(context, PlatformPaths.EXPECTED);
-		answer(context, () -> this.service.delete(key, expected).thenApply((nothing) -> Boolean.TRUE),
+		long expected = longParameter(context, PlatformPaths.EXPECTED);
+		respond(context, () -> this.service.delete(key, expected).thenApply((nothing) -> Boolean.TRUE),
 				(done) -> context.getResponse().status(204).send());
 	}
 
-	private void kind(Context context) {
+	private void listOrWatch(Context context) {
 		String kind = context.getPathTokens().get(KIND);
 		if (context.getRequest().getQueryParams().containsKey(PlatformPaths.AFTER)) {
-			long after = number(context, PlatformPaths.AFTER);
-			Duration wait = Duration.ofMillis(number(context, PlatformPaths.WAIT_MILLIS));
-			answer(context, () -> this.service.watch(kind, after, wait),
+			long after = longParameter(context, PlatformPaths.AFTER);
+			Duration wait = Duration.ofMillis(longParameter(context, PlatformPaths.WAIT_MILLIS));
+			respond(context, () -> this.service.watch(kind, after, wait),
 					(batch) -> context.getResponse().send(JSON, PlatformCodec.writeBatch(batch)));
 		}
 		else {
-			answer(context, () -> this.service.list(kind),
+			respond(context, () -> this.service.list(kind),
 					(batch) -> context.getResponse().send(JSON, PlatformCodec.writeBatch(batch)));
 		}
 	}
@@ -148,7 +148,7 @@
 	}
 
 	private void readVms(Context context) {
-		answer(context, this.service::vms, (list) -> context.getResponse().send(JSON, PlatformCodec.writeVms(list)));
+		respond(context, this.service::vms, (list) -> context.getResponse().send(JSON, PlatformCodec.writeVms(list)));
 	}
 
 	private void putVm(Context context) {
@@ -165,9 +165,9 @@
 		context.getResponse().status(204).send();
 	}
 
-	private <T> void answer(Context context, Supplier<CompletableFuture<T>> call, Consumer<T> send) {
+	private <T> void respond(Context context, Supplier<CompletableFuture<T>> call, Consumer<T> send) {
 		Promise.<T>async((downstream) -> this.loop.execute(() -> forward(call.get(), downstream)))
-			.onError(PlatformException.class, (ex) -> refuse(context, ex))
+			.onError(PlatformException.class, (ex) -> sendError(context, ex))
 			.then(send::accept);
 	}
 
@@ -182,7 +182,7 @@
 		});
 	}
 
-	private static void refuse(Context context, PlatformException failure) {
+	private static void sendError(Context context, PlatformException failure) {
 		int status = switch (failure.kind()) {
 			case CONFLICT -> 409;
 			case TOO_LARGE -> 413;
@@ -192,11 +192,11 @@
 	}
 
 	private static void sendObject(Context context, StoredObject object) {
-		version(context, object);
+		setVersionHeader(context, object);
 		context.getResponse().send("application/octet-stream", object.value());
 	}
 
-	private static void version(Context context, StoredObject object) {
+	private static void setVersionHeader(Context context, StoredObject object) {
 		context.getResponse().getHeaders().set(PlatformPaths.VERSION_HEADER, object.version());
 	}
 
@@ -204,7 +204,7 @@
 		return new ObjectKey(context.getPathTokens().get(KIND), context.getPathTokens().get(NAME));
 	}
 
-	private static long number(Context context, String parameter) {
+	private static long longParameter(Context context, String parameter) {
 		return Long.parseLong(context.getRequest().getQueryParams().get(parameter));
 	}
 
--- a/standins/src/main/java/org/bramleyscale/standins/platform/PlatformService.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/PlatformService.java
@@ -16,11 +16,11 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * The platform's side of its object API, faults included.
+ * The server side of the platform's object API, with fault injection.
  *
  * <p>
- * The futures are the replies: one whose reply is lost never completes, as on a real
- * network. Confined to the thread of the platform's scheduler.
+ * Each future stands for a reply: if the reply is lost, the future never completes, as on
+ * a real network. Confined to the thread of the platform's scheduler.
  */
 public final class PlatformService {
 
@@ -30,7 +30,7 @@
 
 	private final PlatformFaults faults;
 
-	private final Map<String, List<Runnable>> waiting = new HashMap<>();
+	private final Map<String, List<Runnable>> watchers = new HashMap<>();
 
 	public PlatformService(Scheduler scheduler, PlatformLimits limits) {
 		this.scheduler = scheduler;
@@ -60,18 +60,18 @@
 
 	public CompletableFuture<StoredObject> write(ObjectKey key, byte[] value, long expected) {
 		return call(PlatformOperation.WRITE, (effect) -> {
-			refuseIfConflict(effect, key);
+			failIfConflictInjected(effect, key);
 			StoredObject stored = this.state.write(key, value, expected);
-			wake(key.kind());
+			notifyWatchers(key.kind());
 			return stored;
 		});
 	}
 
 	public CompletableFuture<Void> delete(ObjectKey key, long expected) {
 		return call(PlatformOperation.DELETE, (effect) -> {
-			refuseIfConflict(effect, key);
+			failIfConflictInjected(effect, key);
 			this.state.delete(key, expected);
-			wake(key.kind());
+			notifyWatchers(key.kind());
 			return null;
 		});
 	}
@@ -80,7 +80,7 @@
 		return call(PlatformOperation.WATCH,
 				(effect) -> (effect.has(PlatformFault.Kind.GAP)) ? this.state.gap(kind)
 						: this.state.changesAfter(kind, after))
-			.thenCompose((batch) -> (isNews(batch)) ? CompletableFuture.completedFuture(batch)
+			.thenCompose((batch) -> (hasChanges(batch)) ? CompletableFuture.completedFuture(batch)
 					: waitForChange(kind, after, wait));
 	}
 
@@ -90,59 +90,59 @@
 
 	private CompletableFuture<WatchBatch> waitForChange(String kind, long after, Duration wait) {
 		CompletableFuture<WatchBatch> reply = new CompletableFuture<>();
-		Runnable answer = () -> reply.complete(this.state.changesAfter(kind, after));
-		this.waiting.computeIfAbsent(kind, (name) -> new ArrayList<>()).add(answer);
+		Runnable completion = () -> reply.complete(this.state.changesAfter(kind, after));
+		this.watchers.computeIfAbsent(kind, (name) -> new ArrayList<>()).add(completion);
 		this.scheduler.schedule(wait, () -> {
-			this.waiting.getOrDefault(kind, new ArrayList<>()).remove(answer);
-			answer.run();
+			this.watchers.getOrDefault(kind, new ArrayList<>()).remove(completion);
+			completion.run();
 		});
 		return reply;
 	}
 
-	private void wake(String kind) {
-		List<Runnable> woken = this.waiting.remove(kind);
-		if (woken != null) {
-			woken.forEach(this.scheduler::execute);
+	private void notifyWatchers(String kind) {
+		List<Runnable> notified = this.watchers.remove(kind);
+		if (notified != null) {
+			notified.forEach(this.scheduler::execute);
 		}
 	}
 
 	private <T> CompletableFuture<T> call(PlatformOperation operation, Action<T> action) {
 		CompletableFuture<T> reply = new CompletableFuture<>();
-		PlatformFaults.Effect effect = this.faults.strike(operation);
+		PlatformFaults.Effect effect = this.faults.apply(operation);
 		if (effect.has(PlatformFault.Kind.SILENT)) {
 			return reply;
 		}
-		after(effect.delay(PlatformFault.Kind.SLOW), () -> run(operation, action, effect, reply));
+		runAfter(effect.delay(PlatformFault.Kind.SLOW), () -> run(operation, action, effect, reply));
 		return reply;
 	}
 
 	private <T> void run(PlatformOperation operation, Action<T> action, PlatformFaults.Effect effect,
 			CompletableFuture<T> reply) {
 		try {
-			T result = attempt(operation, action, effect);
-			answer(effect, () -> reply.complete(result));
+			T result = countAndRun(operation, action, effect);
+			reply(effect, () -> reply.complete(result));
 		}
 		catch (PlatformException ex) {
-			answer(effect, () -> reply.completeExceptionally(ex));
+			reply(effect, () -> reply.completeExceptionally(ex));
 		}
 	}
 
-	private <T> T attempt(PlatformOperation operation, Action<T> action, PlatformFaults.Effect effect)
+	private <T> T countAndRun(PlatformOperation operation, Action<T> action, PlatformFaults.Effect effect)
 			throws PlatformException {
-		this.state.count(operation);
+		this.state.countAndCheckRate(operation);
 		if (effect.has(PlatformFault.Kind.DOWN)) {
 			throw new PlatformException(PlatformException.Kind.UNAVAILABLE, "the platform is down");
 		}
 		return action.run(effect);
 	}
 
-	private void answer(PlatformFaults.Effect effect, Runnable reply) {
+	private void reply(PlatformFaults.Effect effect, Runnable reply) {
 		if (!effect.has(PlatformFault.Kind.LOST_REPLY)) {
-			after(effect.delay(PlatformFault.Kind.SLOW_REPLY), reply);
+			runAfter(effect.delay(PlatformFault.Kind.SLOW_REPLY), reply);
 		}
 	}
 
-	private void after(Duration delay, Runnable task) {
+	private void runAfter(Duration delay, Runnable task) {
 		if (delay.isZero()) {
 			task.run();
 		}
@@ -151,18 +151,18 @@
 		}
 	}
 
-	private static boolean isNews(WatchBatch batch) {
+	private static boolean hasChanges(WatchBatch batch) {
 		return batch.gap() || !batch.changed().isEmpty();
 	}
 
-	private static void refuseIfConflict(PlatformFaults.Effect effect, ObjectKey key) throws PlatformException {
+	private static void failIfConflictInjected(PlatformFaults.Effect effect, ObjectKey key) throws PlatformException {
 		if (effect.has(PlatformFault.Kind.CONFLICT)) {
-			throw new PlatformException(PlatformException.Kind.CONFLICT, key + " was changed by somebody else");
+			throw new PlatformException(PlatformException.Kind.CONFLICT, key + " was changed by another writer");
 		}
 	}
 
 	/**
-	 * What a call does to the state.
+	 * The effect of a call on the state.
 	 *
 	 * @param <T> the type of the result
 	 */
--- a/standins/src/main/java/org/bramleyscale/standins/platform/PlatformState.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/PlatformState.java
@@ -16,12 +16,12 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * The platform's memory: objects, list of VMs, rates and counts of calls.
+ * State of the platform stand-in: objects, list of VMs, call rates and call counts.
  *
  * <p>
  * Invariant: an object's version is 1 at its creation and grows by one at each write.
- * Every call is counted, also one refused for its rate. Deterministic; confined to one
- * thread.
+ * Every call is counted, including those refused because of the rate limit.
+ * Deterministic; confined to one thread.
  */
 public final class PlatformState {
 
@@ -45,20 +45,21 @@
 	}
 
 	/**
-	 * Counts a call and checks the rate.
+	 * Counts a call and checks it against the rate limit.
 	 * @param operation the operation
-	 * @throws PlatformException if the rate is used up
+	 * @throws PlatformException if the rate limit is exceeded
 	 */
-	public void count(PlatformOperation operation) throws PlatformException {
+	public void countAndCheckRate(PlatformOperation operation) throws PlatformException {
 		this.calls.merge(operation, 1L, Long::sum);
-		TokenBucket bucket = (operation.changes()) ? this.writes : this.reads;
-		if (!bucket.take()) {
-			throw new PlatformException(PlatformException.Kind.UNAVAILABLE, operation + " exceeds the platform's rate");
+		TokenBucket rateLimit = (operation.changes()) ? this.writes : this.reads;
+		if (!rateLimit.tryTake()) {
+			throw new PlatformException(PlatformException.Kind.UNAVAILABLE,
+					operation + " exceeds the platform's rate limit");
 		}
 	}
 
 	/**
-	 * The calls so far.
+	 * Returns the number of calls so far.
 	 * @return a copy of the counts by operation
 	 */
 	public Map<PlatformOperation, Long> calls() {
@@ -76,7 +77,7 @@
 	public StoredObject write(ObjectKey key, byte[] value, long expected) throws PlatformException {
 		if (value.length > ObjectStore.LARGEST_VALUE) {
 			throw new PlatformException(PlatformException.Kind.TOO_LARGE,
-					key + " with " + value.length + " bytes exceeds " + ObjectStore.LARGEST_VALUE);
+					key + " with " + value.length + " bytes exceeds the limit of " + ObjectStore.LARGEST_VALUE);
 		}
 		return kind(key.kind()).write(key, value, expected);
 	}
@@ -86,11 +87,11 @@
 	}
 
 	/**
-	 * The changes of a kind.
+	 * Returns the changes to objects of a kind.
 	 * @param kind the kind
-	 * @param after the revision to look back to
-	 * @return the changes, or a gap if a deletion lies among them or they are no longer
-	 * known
+	 * @param after the revision after which changes are returned
+	 * @return the changes, or a gap if they include a deletion or are no longer in the
+	 * history
 	 */
 	public WatchBatch changesAfter(String kind, long after) {
 		return kind(kind).changesAfter(after);
--- a/standins/src/main/java/org/bramleyscale/standins/platform/TokenBucket.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/TokenBucket.java
@@ -5,7 +5,7 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * A rate limit that allows a burst of one second's worth.
+ * A token bucket rate limiter whose burst is one second's worth of calls.
  *
  * <p>
  * Confined to one thread.
@@ -20,20 +20,20 @@
 
 	private double tokens;
 
-	private long filledAt;
+	private long refilledAt;
 
 	TokenBucket(Clock clock, int perSecond) {
 		this.clock = clock;
 		this.perSecond = perSecond;
 		this.tokens = perSecond;
-		this.filledAt = clock.nanos();
+		this.refilledAt = clock.nanos();
 	}
 
-	boolean take() {
+	boolean tryTake() {
 		long now = this.clock.nanos();
-		double filled = this.tokens + (now - this.filledAt) / NANOS_PER_SECOND * this.perSecond;
-		this.tokens = Math.min(this.perSecond, filled);
-		this.filledAt = now;
+		double refilled = this.tokens + (now - this.refilledAt) / NANOS_PER_SECOND * this.perSecond;
+		this.tokens = Math.min(this.perSecond, refilled);
+		this.refilledAt = now;
 		if (this.tokens < 1) {
 			return false;
 		}
--- a/standins/src/main/java/org/bramleyscale/standins/platform/VmList.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/VmList.java
@@ -12,7 +12,7 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * The list of VMs, which shows each change only after a lag.
+ * The list of VMs, in which each change becomes visible only after a lag.
  *
  * <p>
  * Confined to one thread.
@@ -41,17 +41,17 @@
 	}
 
 	List<VmRecord> read() {
-		while (!this.pending.isEmpty() && due(this.pending.peekFirst())) {
-			show(this.pending.removeFirst());
+		while (!this.pending.isEmpty() && isDue(this.pending.peekFirst())) {
+			apply(this.pending.removeFirst());
 		}
 		return List.copyOf(this.visible.values());
 	}
 
-	private boolean due(Change change) {
+	private boolean isDue(Change change) {
 		return this.clock.nanos() - change.madeAt >= this.lag.toNanos();
 	}
 
-	private void show(Change change) {
+	private void apply(Change change) {
 		if (change.record == null) {
 			this.visible.remove(change.vm.value());
 		}
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	 * One change of the list; without a record if the VM is gone.
+	 * One change of the list; the record is null if the VM was removed.
 	 */
 	private record Change(long madeAt, VmId vm, VmRecord record) {
 	}
--- a/standins/src/test/java/org/bramleyscale/standins/platform/OrderedEngines.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/FakeEngines.java
@@ -34,9 +34,9 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Engines that only take orders, with a network that can delay them.
+ * Fake engines that accept only orders, which the simulated network can delay.
  */
-final class OrderedEngines {
+final class FakeEngines {
 
 	private final Scheduler scheduler;
 
@@ -44,13 +44,14 @@
 
 	private final List<String> log = new ArrayList<>();
 
-	OrderedEngines(Scheduler scheduler) {
+	FakeEngines(Scheduler scheduler) {
 		this.scheduler = scheduler;
 	}
 
 	/**
-	 * The orders that arrived.
-	 * @return each as {@code seconds engine kind desired fence}, with a mark if refused
+	 * Returns the orders that arrived.
+	 * @return each as {@code seconds engine kind desired fence}, followed by
+	 * {@code refused} if the engine refused it
 	 */
 	List<String> log() {
 		return this.log;
@@ -81,7 +82,7 @@
 		return this.engines.computeIfAbsent(id, (key) -> new Engine());
 	}
 
-	private void arrive(EndpointEntry endpoint, EngineOrder order, CompletableFuture<Void> reply) {
+	private void deliver(EndpointEntry endpoint, EngineOrder order, CompletableFuture<Void> reply) {
 		Engine engine = engine(endpoint.name());
 		long seconds = Duration.ofNanos(this.scheduler.nanos()).toSeconds();
 		String line = seconds + " " + endpoint.name() + " " + order.kind() + " " + order.desired() + " "
@@ -89,11 +90,11 @@
 		if (endpoint.checksFencing() && order.fence() < engine.fence) {
 			this.log.add(line + " refused");
 			reply.completeExceptionally(new ServingException(ErrorCode.CONFLICT, Ran.NO, Step.ORDER,
-					endpoint.name().value(), "the number " + order.fence() + " is old"));
+					endpoint.name().value(), "fencing number " + order.fence() + " is stale"));
 			return;
 		}
 		this.log.add(line);
-		engine.obey(order);
+		engine.execute(order);
 		reply.complete(null);
 	}
 
@@ -108,7 +109,7 @@
 
 		private long fence;
 
-		private void obey(EngineOrder order) {
+		private void execute(EngineOrder order) {
 			this.fence = Math.max(this.fence, order.fence());
 			if (order.kind() == EngineOrder.Kind.LOAD_MODEL) {
 				this.models.add(order.desired());
@@ -121,7 +122,7 @@
 	}
 
 	/**
-	 * One daemon's way to the engines.
+	 * One daemon's client of the engines, with its own network delay.
 	 */
 	final class Client implements EngineClient {
 
@@ -134,7 +135,7 @@
 		@Override
 		public CompletableFuture<Void> order(EndpointEntry endpoint, EngineOrder order) {
 			CompletableFuture<Void> reply = new CompletableFuture<>();
-			OrderedEngines.this.scheduler.schedule(this.delay, () -> arrive(endpoint, order, reply));
+			FakeEngines.this.scheduler.schedule(this.delay, () -> deliver(endpoint, order, reply));
 			return reply;
 		}
 
--- a/standins/src/test/java/org/bramleyscale/standins/platform/FaultCase.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/FaultCase.java
@@ -9,8 +9,8 @@
 import org.bramleyscale.internal.platform.PlatformException;
 
 /**
- * A fault, a call that it strikes, what the caller is told, and whether the object exists
- * in the end.
+ * A fault, the call that it affects, the failure that the caller gets, and whether the
+ * object exists afterwards.
  */
 enum FaultCase {
 
@@ -52,7 +52,7 @@
 		this.stored = stored;
 	}
 
-	boolean answered() {
+	boolean isAnsweredAtOnce() {
 		return this.fault == PlatformFault.Kind.DOWN || this.fault == PlatformFault.Kind.CONFLICT;
 	}
 
--- a/standins/src/test/java/org/bramleyscale/standins/platform/HttpFixture.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/HttpFixture.java
@@ -14,11 +14,11 @@
 import org.bramleyscale.internal.time.EventLoop;
 
 /**
- * The HTTP store over the loopback interface.
+ * Fixture of the HTTP store over the loopback interface.
  */
 final class HttpFixture implements StoreFixture {
 
-	private static final long LONGEST_SECONDS = 60;
+	private static final long WAIT_LIMIT_SECONDS = 60;
 
 	private final EventLoop loop = new EventLoop("caller");
 
@@ -33,8 +33,8 @@
 	@Override
 	public <T> T call(Supplier<CompletableFuture<T>> call) throws Exception {
 		return CompletableFuture.supplyAsync(call, this.loop::execute)
-			.get(LONGEST_SECONDS, TimeUnit.SECONDS)
-			.get(LONGEST_SECONDS, TimeUnit.SECONDS);
+			.get(WAIT_LIMIT_SECONDS, TimeUnit.SECONDS)
+			.get(WAIT_LIMIT_SECONDS, TimeUnit.SECONDS);
 	}
 
 	@Override
@@ -43,20 +43,20 @@
 	}
 
 	@Override
-	public ObjectStore impatientStore() {
+	public ObjectStore shortTimeoutStore() {
 		return store(Duration.ofMillis(400));
 	}
 
 	@Override
 	public void change(Consumer<PlatformService> change) throws Exception {
-		this.server.change(change).get(LONGEST_SECONDS, TimeUnit.SECONDS);
+		this.server.change(change).get(WAIT_LIMIT_SECONDS, TimeUnit.SECONDS);
 	}
 
 	@Override
-	public void pass(Duration time) throws Exception {
+	public void advance(Duration time) throws Exception {
 		CountDownLatch passed = new CountDownLatch(1);
 		change((service) -> service.scheduler().schedule(time, passed::countDown));
-		passed.await(LONGEST_SECONDS, TimeUnit.SECONDS);
+		passed.await(WAIT_LIMIT_SECONDS, TimeUnit.SECONDS);
 	}
 
 	@Override
--- a/standins/src/test/java/org/bramleyscale/standins/platform/InMemoryFixture.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/InMemoryFixture.java
@@ -11,11 +11,11 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * The in-memory store on a manual clock.
+ * Fixture of the in-memory store on a manual clock.
  */
 final class InMemoryFixture implements StoreFixture {
 
-	private static final Duration LONGEST = Duration.ofMinutes(1);
+	private static final Duration CALL_LIMIT = Duration.ofMinutes(1);
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
@@ -31,7 +31,7 @@
 		Duration step = Duration.ofMillis(10);
 		this.scheduler.runDue();
 		for (Duration passed = Duration.ZERO; !future.isDone()
-				&& passed.compareTo(LONGEST) < 0; passed = passed.plus(step)) {
+				&& passed.compareTo(CALL_LIMIT) < 0; passed = passed.plus(step)) {
 			this.scheduler.advance(step);
 		}
 		try {
@@ -48,7 +48,7 @@
 	}
 
 	@Override
-	public ObjectStore impatientStore() {
+	public ObjectStore shortTimeoutStore() {
 		return new InMemoryObjectStore(this.scheduler, this.service, Duration.ofMillis(400));
 	}
 
@@ -58,7 +58,7 @@
 	}
 
 	@Override
-	public void pass(Duration time) {
+	public void advance(Duration time) {
 		this.scheduler.advance(time);
 	}
 
--- a/standins/src/test/java/org/bramleyscale/standins/platform/LeaseCluster.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/LeaseCluster.java
@@ -17,11 +17,12 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * Several lease managers over one platform on a manual clock, all seeking one lease.
+ * Several lease managers that share one platform and a manual clock and seek the same
+ * lease.
  *
  * <p>
- * While time passes it checks that never two of them hold the lease, and that each later
- * tenure has a greater number.
+ * Whenever time advances it checks that at most one of them holds the lease, and that the
+ * number of each later tenure is greater.
  */
 final class LeaseCluster {
 
@@ -37,7 +38,7 @@
 
 	private final PlatformService platform = new PlatformService(this.scheduler, PlatformLimits.DEFAULT);
 
-	private final List<Seat> seats;
+	private final List<Daemon> daemons;
 
 	private final List<Long> numbers = new ArrayList<>();
 
@@ -46,7 +47,7 @@
 	}
 
 	LeaseCluster(int size, Duration callTimeout) {
-		this.seats = IntStream.range(0, size).mapToObj((index) -> new Seat(index, callTimeout)).toList();
+		this.daemons = IntStream.range(0, size).mapToObj((index) -> new Daemon(index, callTimeout)).toList();
 	}
 
 	ManualScheduler scheduler() {
@@ -61,12 +62,12 @@
 		return this.platform.faults();
 	}
 
-	Seat seat(int index) {
-		return this.seats.get(index);
+	Daemon daemon(int index) {
+		return this.daemons.get(index);
 	}
 
-	List<Seat> holders() {
-		return this.seats.stream().filter(Seat::holds).toList();
+	List<Daemon> holders() {
+		return this.daemons.stream().filter(Daemon::holds).toList();
 	}
 
 	List<Long> numbers() {
@@ -74,34 +75,34 @@
 	}
 
 	/**
-	 * Lets the first seat take the lease, then lets the others seek it.
+	 * Lets the first daemon take the lease, then lets the others seek it.
 	 * @return this cluster
 	 */
 	LeaseCluster started() {
-		for (Seat seat : this.seats) {
-			seat.seek();
-			pass(Duration.ofMillis(100));
+		for (Daemon daemon : this.daemons) {
+			daemon.seek();
+			advance(Duration.ofMillis(100));
 		}
-		Truth.assertThat(holders()).containsExactly(seat(0));
+		Truth.assertThat(holders()).containsExactly(daemon(0));
 		return this;
 	}
 
-	void pass(Duration time) {
+	void advance(Duration time) {
 		long end = this.scheduler.nanos() + time.toNanos();
 		while (this.scheduler.nanos() < end) {
-			long left = end - this.scheduler.nanos();
-			this.scheduler.advance(Duration.ofNanos(Math.min(left, STEP.toNanos())));
+			long remaining = end - this.scheduler.nanos();
+			this.scheduler.advance(Duration.ofNanos(Math.min(remaining, STEP.toNanos())));
 			Truth.assertThat(holders().size()).isAtMost(1);
 			Truth.assertThat(this.numbers).isInStrictOrder();
 		}
 	}
 
 	/**
-	 * One daemon's leases.
+	 * One daemon with its lease manager, which can be paused or partitioned.
 	 */
-	final class Seat implements LeaseListener {
+	final class Daemon implements LeaseListener {
 
-		private final PausableScheduler own;
+		private final PausableScheduler ownScheduler;
 
 		private final InMemoryObjectStore store;
 
@@ -109,17 +110,17 @@
 
 		private final List<String> events = new ArrayList<>();
 
-		private Seat(int index, Duration timeout) {
+		private Daemon(int index, Duration timeout) {
 			LeaseCluster cluster = LeaseCluster.this;
-			this.own = new PausableScheduler(cluster.scheduler);
-			this.store = new InMemoryObjectStore(this.own, cluster.platform, timeout);
+			this.ownScheduler = new PausableScheduler(cluster.scheduler);
+			this.store = new InMemoryObjectStore(this.ownScheduler, cluster.platform, timeout);
 			Incarnation self = new Incarnation(new VmId("entry-" + index), 1);
-			this.manager = new LeaseManager(this.own, this.store, self, SETTINGS, new Random(index),
+			this.manager = new LeaseManager(this.ownScheduler, this.store, self, SETTINGS, new Random(index),
 					new MetricRegistry());
 		}
 
 		PausableScheduler scheduler() {
-			return this.own;
+			return this.ownScheduler;
 		}
 
 		InMemoryObjectStore store() {
--- a/standins/src/test/java/org/bramleyscale/standins/platform/LeasePropertyTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/LeasePropertyTests.java
@@ -12,64 +12,64 @@
 import net.jqwik.api.Provide;
 
 /**
- * Leases under any sequence of faults. The cluster checks after each 50 ms that no two
- * daemons hold the lease and that numbers grow.
+ * Tests leases under arbitrary sequences of faults. The cluster checks every 50 ms that
+ * at most one daemon holds the lease and that lease numbers increase.
  */
 class LeasePropertyTests {
 
-	private static final int SEATS = 3;
+	private static final int DAEMONS = 3;
 
-	private static final Duration HEALING = LeaseCluster.SETTINGS.duration().multipliedBy(4);
+	private static final Duration RECOVERY_TIME = LeaseCluster.SETTINGS.duration().multipliedBy(4);
 
 	@Property(tries = 300, seed = "20260101")
-	void neverTwoHoldersAndOneInTheEnd(@ForAll("events") List<Event> events) {
-		LeaseCluster cluster = new LeaseCluster(SEATS).started();
+	void neverTwoHoldersAndOneHolderAfterRecovery(@ForAll("events") List<Event> events) {
+		LeaseCluster cluster = new LeaseCluster(DAEMONS).started();
 		for (Event event : events) {
 			event.apply(cluster);
-			cluster.pass(Duration.ofMillis(event.thenMillis()));
+			cluster.advance(Duration.ofMillis(event.millisAfter()));
 		}
 		cluster.faults().clear();
-		for (int index = 0; index < SEATS; index++) {
-			cluster.seat(index).scheduler().resume();
-			cluster.seat(index).store().cutOff(false);
+		for (int index = 0; index < DAEMONS; index++) {
+			cluster.daemon(index).scheduler().resume();
+			cluster.daemon(index).store().cutOff(false);
 		}
-		cluster.pass(HEALING);
+		cluster.advance(RECOVERY_TIME);
 		Truth.assertThat(cluster.holders()).hasSize(1);
 	}
 
 	@Provide
 	Arbitrary<List<Event>> events() {
 		Arbitrary<Action> actions = Arbitraries.of(Action.class);
-		Arbitrary<Integer> seats = Arbitraries.integers().between(0, SEATS - 1);
+		Arbitrary<Integer> daemons = Arbitraries.integers().between(0, DAEMONS - 1);
 		Arbitrary<PlatformFault.Kind> kinds = Arbitraries.of(PlatformFault.Kind.class);
 		Arbitrary<Integer> calls = Arbitraries.integers().between(1, 5);
-		Arbitrary<Integer> pauses = Arbitraries.integers().between(0, 15_000);
-		return Combinators.combine(actions, seats, kinds, calls, pauses).as(Event::new).list().ofMaxSize(20);
+		Arbitrary<Integer> delays = Arbitraries.integers().between(0, 15_000);
+		return Combinators.combine(actions, daemons, kinds, calls, delays).as(Event::new).list().ofMaxSize(20);
 	}
 
 	/**
-	 * What may happen.
+	 * The kinds of events.
 	 */
 	enum Action {
 
-		PAUSE, RESUME, CUT_OFF, JOIN, FAULT, CLEAR, STEP_CLOCK
+		PAUSE, RESUME, CUT_OFF, RECONNECT, FAULT, CLEAR, STEP_CLOCK
 
 	}
 
 	/**
-	 * One thing that happens, and how long it lasts.
+	 * One event and the time that passes after it.
 	 */
-	record Event(Action action, int seat, PlatformFault.Kind kind, int calls, int thenMillis) {
+	record Event(Action action, int daemon, PlatformFault.Kind kind, int calls, int millisAfter) {
 
 		private static final Duration FAULT_DELAY = Duration.ofMillis(3100);
 
 		void apply(LeaseCluster cluster) {
-			LeaseCluster.Seat struck = cluster.seat(this.seat);
+			LeaseCluster.Daemon target = cluster.daemon(this.daemon);
 			switch (this.action) {
-				case PAUSE -> struck.scheduler().pause();
-				case RESUME -> struck.scheduler().resume();
-				case CUT_OFF -> struck.store().cutOff(true);
-				case JOIN -> struck.store().cutOff(false);
+				case PAUSE -> target.scheduler().pause();
+				case RESUME -> target.scheduler().resume();
+				case CUT_OFF -> target.store().cutOff(true);
+				case RECONNECT -> target.store().cutOff(false);
 				case FAULT -> cluster.faults().inject(PlatformFault.of(this.kind).by(FAULT_DELAY).times(this.calls));
 				case CLEAR -> cluster.faults().clear();
 				case STEP_CLOCK -> cluster.scheduler().stepWallTime(Duration.ofHours(this.calls));
--- a/standins/src/test/java/org/bramleyscale/standins/platform/LeaseTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/LeaseTests.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Leases under pauses, races, lost replies, slowness and outages. The cluster checks all
- * along that no two daemons hold the lease and that numbers grow.
+ * Tests leases under pauses, races, lost replies, slow calls and outages. The cluster
+ * checks throughout that at most one daemon holds the lease and that lease numbers
+ * increase.
  */
 class LeaseTests {
 
@@ -20,210 +21,213 @@
 	@Test
 	void renewsAsLongAsThePlatformAnswers() {
 		LeaseCluster cluster = new LeaseCluster(2).started();
-		cluster.pass(LEASE_TIME.multipliedBy(20));
-		Truth.assertThat(cluster.holders()).containsExactly(cluster.seat(0));
-		Truth.assertThat(cluster.seat(0).events()).containsExactly("taken 1");
+		cluster.advance(LEASE_TIME.multipliedBy(20));
+		Truth.assertThat(cluster.holders()).containsExactly(cluster.daemon(0));
+		Truth.assertThat(cluster.daemon(0).events()).containsExactly("taken 1");
 	}
 
 	@Test
-	void takesOverFromADeadHolder() {
+	void takesOverFromAnUnresponsiveHolder() {
 		LeaseCluster cluster = new LeaseCluster(2).started();
-		cluster.seat(0).scheduler().pause();
-		cluster.pass(LEASE_TIME.multipliedBy(2));
-		Truth.assertThat(cluster.holders()).containsExactly(cluster.seat(1));
+		cluster.daemon(0).scheduler().pause();
+		cluster.advance(LEASE_TIME.multipliedBy(2));
+		Truth.assertThat(cluster.holders()).containsExactly(cluster.daemon(1));
 	}
 
 	@Test
-	void takesAGivenBackLeaseWithoutWaitingForItsExpiry() {
+	void takesAReleasedLeaseWithoutWaitingForItsExpiry() {
 		LeaseCluster cluster = new LeaseCluster(2).started();
-		cluster.seat(0).manager().release(LeaseCluster.LEASE);
-		cluster.pass(LeaseCluster.SETTINGS.renewEvery().multipliedBy(2));
-		Truth.assertThat(cluster.holders()).containsExactly(cluster.seat(1));
-		Truth.assertThat(cluster.seat(0).events()).containsExactly("taken 1", "lost 1").inOrder();
+		cluster.daemon(0).manager().release(LeaseCluster.LEASE);
+		cluster.advance(LeaseCluster.SETTINGS.renewEvery().multipliedBy(2));
+		Truth.assertThat(cluster.holders()).containsExactly(cluster.daemon(1));
+		Truth.assertThat(cluster.daemon(0).events()).containsExactly("taken 1", "lost 1").inOrder();
 	}
 
 	@Test
-	void seeksAgainAfterGivingBack() {
+	void seeksAgainAfterRelease() {
 		LeaseCluster cluster = new LeaseCluster(1).started();
-		cluster.seat(0).manager().release(LeaseCluster.LEASE);
-		cluster.seat(0).seek();
-		cluster.pass(LEASE_TIME);
-		Truth.assertThat(cluster.holders()).containsExactly(cluster.seat(0));
+		cluster.daemon(0).manager().release(LeaseCluster.LEASE);
+		cluster.daemon(0).seek();
+		cluster.advance(LEASE_TIME);
+		Truth.assertThat(cluster.holders()).containsExactly(cluster.daemon(0));
 		Truth.assertThat(cluster.numbers()).hasSize(2);
 	}
 
 	@Test
-	void givesBackALeaseThatArrivesAfterItsRelease() {
-		// Symptom: a lease stays with a daemon that no longer wants it.
-		// Sequence: the write that takes it is slow, and the daemon releases meanwhile.
-		// Cause: the reply finds nobody who would give the lease back.
+	void releasesALeaseWhoseWriteCompletesAfterTheRelease() {
+		// Symptom: a lease remains held by a daemon that has released it.
+		// Sequence: the write that takes the lease is slow, and the daemon releases the
+		// lease before the reply arrives.
+		// Cause: the late reply is not handled, so the lease is not given back.
 		LeaseCluster cluster = new LeaseCluster(2);
 		inject(cluster, PlatformFault.Kind.SLOW_REPLY, PlatformOperation.WRITE, 1, Duration.ofSeconds(1));
-		cluster.seat(0).seek();
-		cluster.pass(Duration.ofMillis(500));
-		cluster.seat(0).manager().release(LeaseCluster.LEASE);
-		cluster.seat(1).seek();
-		cluster.pass(LEASE_TIME.dividedBy(2));
-		Truth.assertThat(cluster.holders()).containsExactly(cluster.seat(1));
+		cluster.daemon(0).seek();
+		cluster.advance(Duration.ofMillis(500));
+		cluster.daemon(0).manager().release(LeaseCluster.LEASE);
+		cluster.daemon(1).seek();
+		cluster.advance(LEASE_TIME.dividedBy(2));
+		Truth.assertThat(cluster.holders()).containsExactly(cluster.daemon(1));
 	}
 
 	@Test
 	void pausedHolderDoesNotActAfterItsExpiry() {
-		// Symptom: two daemons give orders to one engine.
-		// Sequence: the holder is paused past the expiry, another takes the lease, the
-		// first wakes up and acts before its timers have run.
-		// Cause: it trusts what it knew before the pause.
+		// Symptom: two daemons send orders to one engine.
+		// Sequence: the holder is paused past the expiry, another daemon takes the lease,
+		// the first one resumes and acts before its timers have run.
+		// Cause: it relies on its state from before the pause.
 		LeaseCluster cluster = new LeaseCluster(2).started();
-		Lease old = cluster.seat(0).manager().lease(LeaseCluster.LEASE).orElseThrow();
-		cluster.seat(0).scheduler().pause();
-		cluster.pass(LEASE_TIME.multipliedBy(3));
+		Lease old = cluster.daemon(0).manager().lease(LeaseCluster.LEASE).orElseThrow();
+		cluster.daemon(0).scheduler().pause();
+		cluster.advance(LEASE_TIME.multipliedBy(3));
 		Truth.assertThat(old.held()).isFalse();
-		cluster.seat(0).scheduler().resume();
-		cluster.pass(LEASE_TIME);
-		Truth.assertThat(cluster.holders()).containsExactly(cluster.seat(1));
-		Lease current = cluster.seat(1).manager().lease(LeaseCluster.LEASE).orElseThrow();
+		cluster.daemon(0).scheduler().resume();
+		cluster.advance(LEASE_TIME);
+		Truth.assertThat(cluster.holders()).containsExactly(cluster.daemon(1));
+		Lease current = cluster.daemon(1).manager().lease(LeaseCluster.LEASE).orElseThrow();
 		Truth.assertThat(current.number()).isGreaterThan(old.number());
 	}
 
 	@Test
 	void oneOfManyClaimantsWins() {
-		// Symptom: two daemons believe that they took the lease.
-		// Sequence: all of them start at the same moment, or see it expire together.
-		// Cause: reading and writing are two calls.
+		// Symptom: two daemons both consider the lease taken by themselves.
+		// Sequence: all daemons start at the same time, or see the lease expire at the
+		// same time.
+		// Cause: reading and writing the lease are two separate calls.
 		LeaseCluster cluster = new LeaseCluster(7);
-		for (int seat = 0; seat < 7; seat++) {
-			cluster.seat(seat).seek();
+		for (int daemon = 0; daemon < 7; daemon++) {
+			cluster.daemon(daemon).seek();
 		}
-		cluster.pass(Duration.ofSeconds(1));
+		cluster.advance(Duration.ofSeconds(1));
 		Truth.assertThat(cluster.holders()).hasSize(1);
 		cluster.holders().get(0).scheduler().pause();
-		cluster.pass(LEASE_TIME.multipliedBy(2));
+		cluster.advance(LEASE_TIME.multipliedBy(2));
 		Truth.assertThat(cluster.holders()).hasSize(1);
 		Truth.assertThat(cluster.numbers()).hasSize(2);
 	}
 
 	@ParameterizedTest
 	@EnumSource(names = { "LOST_REPLY", "SLOW_REPLY" })
-	void settlesATakeWithoutReplyByReadingBack(PlatformFault.Kind kind) {
-		// Symptom: nobody acts for a whole lease time although a daemon holds the lease.
-		// Sequence: the write that takes it has its effect, but the reply doesn't come.
-		// Cause: the daemon doesn't know that the lease is its own.
+	void resolvesATakeWithoutReplyByReadingBack(PlatformFault.Kind kind) {
+		// Symptom: no daemon acts for a whole lease duration although one holds the
+		// lease.
+		// Sequence: the write that takes the lease succeeds, but its reply is lost.
+		// Cause: the daemon does not know that it holds the lease.
 		LeaseCluster cluster = new LeaseCluster(1);
 		inject(cluster, kind, PlatformOperation.WRITE, 1, Duration.ofSeconds(5));
-		cluster.seat(0).seek();
-		cluster.pass(Duration.ofSeconds(3));
-		Truth.assertThat(cluster.seat(0).events()).containsExactly("taken 1");
+		cluster.daemon(0).seek();
+		cluster.advance(Duration.ofSeconds(3));
+		Truth.assertThat(cluster.daemon(0).events()).containsExactly("taken 1");
 	}
 
 	@ParameterizedTest
 	@EnumSource(names = { "LOST_REPLY", "SLOW_REPLY", "SLOW", "SILENT", "CONFLICT", "DOWN" })
-	void keepsTheLeaseOverOneRenewalThatGoesWrong(PlatformFault.Kind kind) {
-		// Symptom: the lease changes hands, or lapses, at each lost reply.
-		// Sequence: a renewal takes effect, the reply is lost, the next one conflicts.
-		// Cause: the holder takes its own write for somebody else's.
+	void keepsTheLeaseAfterOneFailedRenewal(PlatformFault.Kind kind) {
+		// Symptom: the lease moves to another daemon, or expires, at each lost reply.
+		// Sequence: a renewal succeeds, its reply is lost, and the next one conflicts.
+		// Cause: the holder takes its own write for that of another daemon.
 		LeaseCluster cluster = new LeaseCluster(2).started();
 		inject(cluster, kind, PlatformOperation.WRITE, 1, Duration.ofSeconds(4));
-		cluster.pass(LEASE_TIME.multipliedBy(3));
-		Truth.assertThat(cluster.seat(0).events()).containsExactly("taken 1");
-		Truth.assertThat(cluster.holders()).containsExactly(cluster.seat(0));
+		cluster.advance(LEASE_TIME.multipliedBy(3));
+		Truth.assertThat(cluster.daemon(0).events()).containsExactly("taken 1");
+		Truth.assertThat(cluster.holders()).containsExactly(cluster.daemon(0));
 	}
 
 	@Test
-	void countsALeaseFromBeforeTheCallThatRenewedIt() {
+	void measuresTheLeaseFromTheStartOfItsRenewalCall() {
 		// Symptom: the old holder acts after the next one has taken over.
-		// Sequence: a renewal takes effect at once, its reply comes seconds later, and
-		// then the holder is cut off.
-		// Cause: the holder counts the lease from the reply, the claimants from the
-		// effect.
+		// Sequence: a renewal takes effect at once, its reply arrives seconds later, and
+		// then the holder is partitioned from the platform.
+		// Cause: the holder measures the lease from the reply, the claimants from the
+		// write.
 		LeaseCluster cluster = new LeaseCluster(7, Duration.ofSeconds(8)).started();
 		inject(cluster, PlatformFault.Kind.SLOW_REPLY, PlatformOperation.WRITE, 1, Duration.ofMillis(5500));
-		cluster.pass(LEASE_TIME.minusSeconds(1));
-		cluster.seat(0).store().cutOff(true);
-		cluster.pass(LEASE_TIME.multipliedBy(2));
+		cluster.advance(LEASE_TIME.minusSeconds(1));
+		cluster.daemon(0).store().cutOff(true);
+		cluster.advance(LEASE_TIME.multipliedBy(2));
 		Truth.assertThat(cluster.holders()).hasSize(1);
-		Truth.assertThat(cluster.holders()).doesNotContain(cluster.seat(0));
+		Truth.assertThat(cluster.holders()).doesNotContain(cluster.daemon(0));
 	}
 
 	@Test
-	void doesNotHoldALeaseWhoseRenewalStraddledTheExpiry() {
+	void doesNotHoldALeaseWhoseRenewalReplyComesAfterTheExpiry() {
 		// Symptom: a daemon acts under a lease that others may have taken.
-		// Sequence: the platform is so slow that the reply to a renewal comes after the
-		// expiry, and says that it succeeded.
-		// Cause: the reply tells of the past.
+		// Sequence: the platform is so slow that the reply to a successful renewal
+		// arrives after the expiry.
+		// Cause: the reply describes an earlier state.
 		LeaseCluster cluster = new LeaseCluster(1, LEASE_TIME.multipliedBy(2)).started();
-		LeaseCluster.Seat seat = cluster.seat(0);
-		Lease old = seat.manager().lease(LeaseCluster.LEASE).orElseThrow();
+		LeaseCluster.Daemon daemon = cluster.daemon(0);
+		Lease old = daemon.manager().lease(LeaseCluster.LEASE).orElseThrow();
 		inject(cluster, PlatformFault.Kind.SLOW_REPLY, PlatformOperation.WRITE, 1, LEASE_TIME);
-		cluster.pass(LEASE_TIME);
+		cluster.advance(LEASE_TIME);
 		Truth.assertThat(old.held()).isFalse();
-		Truth.assertThat(seat.events()).containsExactly("taken 1", "lost 1").inOrder();
-		cluster.pass(LEASE_TIME);
+		Truth.assertThat(daemon.events()).containsExactly("taken 1", "lost 1").inOrder();
+		cluster.advance(LEASE_TIME);
 		Truth.assertThat(old.held()).isFalse();
-		Truth.assertThat(seat.holds()).isTrue();
+		Truth.assertThat(daemon.holds()).isTrue();
 	}
 
 	@Test
-	void doesNotTakeALeaseWhoseTimeIsOverWhenTheReplyComes() {
-		// Symptom: a daemon begins to act under a lease that has already lapsed.
-		// Sequence: the write that takes it has its effect, the reply comes late.
-		// Cause: the reply tells of the past.
+	void doesNotTakeALeaseThatExpiredBeforeTheReply() {
+		// Symptom: a daemon starts to act under a lease that has already expired.
+		// Sequence: the write that takes the lease succeeds, and its reply arrives late.
+		// Cause: the reply describes an earlier state.
 		LeaseCluster cluster = new LeaseCluster(1, LEASE_TIME.multipliedBy(2));
 		inject(cluster, PlatformFault.Kind.SLOW_REPLY, PlatformOperation.WRITE, 1, LEASE_TIME);
-		cluster.seat(0).seek();
-		cluster.pass(LEASE_TIME.multipliedBy(2));
-		Truth.assertThat(cluster.seat(0).holds()).isTrue();
-		Truth.assertThat(cluster.seat(0).events()).containsExactly("taken 2");
+		cluster.daemon(0).seek();
+		cluster.advance(LEASE_TIME.multipliedBy(2));
+		Truth.assertThat(cluster.daemon(0).holds()).isTrue();
+		Truth.assertThat(cluster.daemon(0).events()).containsExactly("taken 2");
 	}
 
 	@ParameterizedTest
 	@EnumSource
-	void ignoresAStepOfTheTimeOfDay(Step step) {
-		// Symptom: a lease changes hands when a clock is corrected.
-		// Sequence: the time of day steps forwards or back by a day.
-		// Cause: expiry counted by the time of day.
+	void ignoresAStepOfTheWallClock(Step step) {
+		// Symptom: a lease moves to another daemon when a clock is corrected.
+		// Sequence: the wall clock steps forwards or back by a day.
+		// Cause: expiry measured by the wall clock.
 		LeaseCluster cluster = new LeaseCluster(2).started();
 		cluster.scheduler().stepWallTime(step.by);
-		cluster.pass(LEASE_TIME.multipliedBy(3));
+		cluster.advance(LEASE_TIME.multipliedBy(3));
 		Truth.assertThat(cluster.numbers()).containsExactly(1L);
-		Truth.assertThat(cluster.holders()).containsExactly(cluster.seat(0));
+		Truth.assertThat(cluster.holders()).containsExactly(cluster.daemon(0));
 	}
 
 	@ParameterizedTest
 	@EnumSource(names = { "DOWN", "SILENT" })
-	void nobodyHoldsTheLeaseInALongOutage(PlatformFault.Kind kind) {
-		// Symptom: two daemons hold the lease once the platform is back, or one acts
-		// during the outage although it can't know that it still holds the lease.
-		// Sequence: the platform is out for longer than the lease, then comes back.
-		// Cause: nobody can renew or take.
+	void noDaemonHoldsTheLeaseInALongOutage(PlatformFault.Kind kind) {
+		// Symptom: two daemons hold the lease after the platform recovers, or one acts
+		// during the outage although it cannot know whether it still holds the lease.
+		// Sequence: the platform is unavailable for longer than the lease duration.
+		// Cause: no daemon can renew or take the lease.
 		LeaseCluster cluster = new LeaseCluster(2).started();
 		inject(cluster, kind, null, 0, Duration.ZERO);
-		cluster.pass(LEASE_TIME);
+		cluster.advance(LEASE_TIME);
 		Truth.assertThat(cluster.holders()).isEmpty();
-		cluster.pass(LEASE_TIME.multipliedBy(10));
+		cluster.advance(LEASE_TIME.multipliedBy(10));
 		Truth.assertThat(cluster.holders()).isEmpty();
 		cluster.faults().clear();
-		cluster.pass(LEASE_TIME.multipliedBy(2));
+		cluster.advance(LEASE_TIME.multipliedBy(2));
 		Truth.assertThat(cluster.holders()).hasSize(1);
 	}
 
 	@Test
-	void doesNotStormThePlatformWithConflicts() {
+	void limitsWritesUnderPersistentConflicts() {
 		LeaseCluster cluster = new LeaseCluster(1).started();
 		inject(cluster, PlatformFault.Kind.CONFLICT, null, 0, Duration.ZERO);
 		long before = writes(cluster);
-		cluster.pass(LEASE_TIME);
+		cluster.advance(LEASE_TIME);
 		Truth.assertThat(writes(cluster) - before).isAtMost(20L);
 		cluster.faults().clear();
-		cluster.pass(LEASE_TIME);
+		cluster.advance(LEASE_TIME);
 		Truth.assertThat(cluster.holders()).hasSize(1);
 	}
 
 	@Test
 	void showsHoldersInTheDump() {
 		LeaseCluster cluster = new LeaseCluster(2).started();
-		cluster.pass(LEASE_TIME);
-		List<String> dumps = List.of(cluster.seat(0).manager().dump().toString(),
-				cluster.seat(1).manager().dump().toString());
+		cluster.advance(LEASE_TIME);
+		List<String> dumps = List.of(cluster.daemon(0).manager().dump().toString(),
+				cluster.daemon(1).manager().dump().toString());
 		Truth.assertThat(dumps.get(0)).contains("holder=entry-0~1, number=1");
 		Truth.assertThat(dumps.get(1)).contains("holder=entry-0~1, number=0");
 	}
@@ -238,7 +242,7 @@
 	}
 
 	/**
-	 * Steps of the time of day.
+	 * Steps of the wall clock.
 	 */
 	enum Step {
 
--- a/standins/src/test/java/org/bramleyscale/standins/platform/ObjectStoreContractTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/ObjectStoreContractTests.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The contract of the platform's object API, kept by each implementation.
+ * Tests the contract of the platform's object API for each implementation.
  */
 class ObjectStoreContractTests {
 
@@ -68,7 +68,7 @@
 
 	@ParameterizedTest
 	@EnumSource
-	void listsAKindAndWatchesFromThere(Implementation implementation) throws Exception {
+	void watchesFromTheListedRevision(Implementation implementation) throws Exception {
 		try (StoreFixture fixture = implementation.start(LIMITS)) {
 			ObjectStore store = fixture.store();
 			fixture.call(() -> store.write(KEY, VALUE, 0));
@@ -88,7 +88,7 @@
 
 	@ParameterizedTest
 	@EnumSource
-	void endsAWatchWithoutChangesEmpty(Implementation implementation) throws Exception {
+	void returnsAnEmptyBatchFromAWatchWithoutChanges(Implementation implementation) throws Exception {
 		try (StoreFixture fixture = implementation.start(LIMITS)) {
 			ObjectStore store = fixture.store();
 			WatchBatch batch = fixture.call(() -> store.watch("lease", 0, Duration.ofMillis(20)));
@@ -104,8 +104,8 @@
 		try (StoreFixture fixture = implementation.start(LIMITS.withVmListLag(lag))) {
 			ObjectStore store = fixture.store();
 			fixture.change((service) -> service.state().putVm(vm));
-			fixture.pass(lag);
-			fixture.pass(lag);
+			fixture.advance(lag);
+			fixture.advance(lag);
 			Truth.assertThat(fixture.call(store::vms)).containsExactly(vm);
 		}
 	}
@@ -115,22 +115,22 @@
 		VmRecord vm = new VmRecord(new VmId("entry-1"), new DataCentre("quan1"), "127.0.0.1:1", "127.0.0.1:2", false);
 		try (StoreFixture fixture = new InMemoryFixture(LIMITS)) {
 			fixture.change((service) -> service.state().putVm(vm));
-			fixture.pass(LIMITS.vmListLag().minusMillis(1));
+			fixture.advance(LIMITS.vmListLag().minusMillis(1));
 			Truth.assertThat(fixture.call(fixture.store()::vms)).isEmpty();
 		}
 	}
 
 	@ParameterizedTest(name = "{0}: {1}")
 	@MethodSource("faults")
-	void namesWhatTheCallerKnowsAfterAFault(Implementation implementation, FaultCase faultCase) throws Exception {
+	void reportsTheKnownOutcomeAfterAFault(Implementation implementation, FaultCase faultCase) throws Exception {
 		try (StoreFixture fixture = implementation.start(LIMITS)) {
-			ObjectStore store = (faultCase.answered()) ? fixture.store() : fixture.impatientStore();
+			ObjectStore store = (faultCase.isAnsweredAtOnce()) ? fixture.store() : fixture.shortTimeoutStore();
 			PlatformFault fault = PlatformFault.of(faultCase.fault).by(DELAY);
 			fixture.change((service) -> service.faults().inject(fault.times(1)));
 			Supplier<CompletableFuture<?>> call = () -> faultCase.call.apply(store, KEY);
 			PlatformException failure = failure(fixture, call);
 			Truth.assertThat(failure.kind()).isEqualTo(faultCase.expected);
-			fixture.pass((faultCase.fault == PlatformFault.Kind.SLOW) ? DELAY : Duration.ZERO);
+			fixture.advance((faultCase.fault == PlatformFault.Kind.SLOW) ? DELAY : Duration.ZERO);
 			boolean stored = fixture.call(() -> fixture.store().read(KEY)).isPresent();
 			Truth.assertThat(stored).isEqualTo(faultCase.stored);
 		}
@@ -144,7 +144,7 @@
 
 	@ParameterizedTest
 	@EnumSource
-	void passesASlowReplyOnWithinTheTimeout(Implementation implementation) throws Exception {
+	void returnsASlowReplyWithinTheTimeout(Implementation implementation) throws Exception {
 		try (StoreFixture fixture = implementation.start(LIMITS)) {
 			ObjectStore store = fixture.store();
 			fixture.change((service) -> service.faults()
--- a/standins/src/test/java/org/bramleyscale/standins/platform/PausableScheduler.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/PausableScheduler.java
@@ -9,8 +9,8 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * The scheduler of one daemon among several on a manual clock; it can be paused as a
- * whole, while the clock goes on, or ended for good.
+ * The scheduler of one of several daemons that share a manual clock. It can be paused
+ * while the clock advances, or ended permanently.
  */
 public final class PausableScheduler implements Scheduler {
 
@@ -38,7 +38,7 @@
 	}
 
 	/**
-	 * Drops all tasks, now and from now on, as the death of the process does.
+	 * Drops all pending and future tasks, like a crash of the process.
 	 */
 	public void end() {
 		this.ended = true;
@@ -63,7 +63,7 @@
 	@Override
 	public Cancellable schedule(Duration delay, Runnable task) {
 		boolean[] cancelled = new boolean[1];
-		this.shared.schedule(delay, () -> runOrHold(() -> {
+		this.shared.schedule(delay, () -> runOrDefer(() -> {
 			if (!cancelled[0]) {
 				task.run();
 			}
@@ -71,7 +71,7 @@
 		return () -> cancelled[0] = true;
 	}
 
-	private void runOrHold(Runnable task) {
+	private void runOrDefer(Runnable task) {
 		if (this.paused && !this.ended) {
 			this.pending.addLast(task);
 		}
--- a/standins/src/test/java/org/bramleyscale/standins/platform/PlatformServerTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/PlatformServerTests.java
@@ -10,7 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The part of the stand-in that isn't the object API.
+ * Tests the HTTP routes of the platform stand-in, including admin routes and status
+ * codes.
  */
 class PlatformServerTests {
 
@@ -30,7 +31,7 @@
 			GET    | /objects/a/b  | ''     | 404 | ''
 			PUT    | /objects/a/b?expected=3 | x | 409 | a/b has version 0, expected 3
 			""")
-	void answers(String method, String path, String body, int status, String expected) throws Exception {
+	void respondsToEachRoute(String method, String path, String body, int status, String expected) throws Exception {
 		try (PlatformServer server = new PlatformServer(0, PlatformLimits.DEFAULT)) {
 			HttpResponse<String> response = send(server, method, path, body.replace("$VM", VM));
 			Truth.assertThat(response.statusCode()).isEqualTo(status);
--- a/standins/src/test/java/org/bramleyscale/standins/platform/SilentConnectionTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/SilentConnectionTests.java
@@ -25,10 +25,10 @@
 
 	@Test
 	void oneTimeoutIsEnoughToLeaveSilentConnections() throws Exception {
-		// Symptom: call after call of one daemon times out while the platform is well.
-		// Sequence: several connections are open and idle; something between the two ends
-		// loses track of them, and nobody is told.
-		// Cause: each call takes the next silent connection from the pool.
+		// Symptom: successive calls of one daemon time out although the platform works.
+		// Sequence: several connections are open and idle; a network device between the
+		// two ends drops their state without closing them.
+		// Cause: each call takes the next dead connection from the pool.
 		EventLoop loop = new EventLoop("caller");
 		try (SilentServer server = new SilentServer(CONNECTIONS); HttpExecution execution = new HttpExecution(loop)) {
 			HttpObjectStore store = new HttpObjectStore(loop, execution, server.address(), Duration.ofSeconds(3),
--- a/standins/src/test/java/org/bramleyscale/standins/platform/SilentServer.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/SilentServer.java
@@ -14,12 +14,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An HTTP server on the loopback address whose connections answer one request each and
- * then go silent without being closed.
+ * An HTTP server on the loopback address that answers one request on each connection and
+ * then stops responding on it without closing it.
  *
  * <p>
- * The first requests are answered only once so many have arrived, so that each of them
- * has a connection of its own.
+ * No request is answered until the expected number of requests has arrived, so that each
+ * of the first ones has its own connection.
  */
 final class SilentServer implements AutoCloseable {
 
@@ -30,10 +30,10 @@
 
 	private final ExecutorService threads = Executors.newCachedThreadPool();
 
-	private final CountDownLatch together;
+	private final CountDownLatch expectedRequests;
 
-	SilentServer(int together) throws IOException {
-		this.together = new CountDownLatch(together);
+	SilentServer(int expectedRequests) throws IOException {
+		this.expectedRequests = new CountDownLatch(expectedRequests);
 		this.threads.execute(this::accept);
 	}
 
@@ -66,8 +66,8 @@
 			while (!reader.readLine().isEmpty()) {
 				continue;
 			}
-			this.together.countDown();
-			this.together.await(60, TimeUnit.SECONDS);
+			this.expectedRequests.countDown();
+			this.expectedRequests.await(60, TimeUnit.SECONDS);
 			OutputStream output = connection.getOutputStream();
 			output.write(REPLY);
 			output.flush();
--- a/standins/src/test/java/org/bramleyscale/standins/platform/StoreFixture.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/StoreFixture.java
@@ -8,36 +8,36 @@
 import org.bramleyscale.internal.platform.ObjectStore;
 
 /**
- * One implementation of the object API with its platform, under test.
+ * An implementation of the object API under test, together with its platform.
  */
 interface StoreFixture extends AutoCloseable {
 
 	/**
-	 * Calls the store on its scheduler's thread and waits for the end.
+	 * Calls the store on its scheduler's thread and waits for completion.
 	 * @param call the call
 	 * @param <T> the type of the result
 	 * @return the result
-	 * @throws Exception what the call failed with
+	 * @throws Exception the failure of the call
 	 */
 	<T> T call(Supplier<CompletableFuture<T>> call) throws Exception;
 
 	ObjectStore store();
 
 	/**
-	 * The access of a caller with little patience, for calls that never get a reply.
+	 * Returns a store with a short call timeout, for calls that never get a reply.
 	 * @return the store
 	 */
-	ObjectStore impatientStore();
+	ObjectStore shortTimeoutStore();
 
 	void change(Consumer<PlatformService> change) throws Exception;
 
 	/**
-	 * Lets so much time pass on the platform's own scheduler, so that what was due there
-	 * before has happened.
-	 * @param time the time
+	 * Lets time pass on the platform's scheduler, so that tasks that were due there
+	 * before have run.
+	 * @param time the time to pass
 	 * @throws Exception if interrupted
 	 */
-	void pass(Duration time) throws Exception;
+	void advance(Duration time) throws Exception;
 
 	@Override
 	void close() throws Exception;
