--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/hold/EngineOrders.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/hold/EngineOrders.java
@@ -8,33 +8,35 @@
 import org.bramleyscale.internal.gateway.backend.EndpointStart;
 
 /**
- * Orders to engines about their memory.
+ * Sends orders to engines that reserve and release memory.
  *
  * <p>
- * Futures complete on the scheduler's thread; exceptionally if no answer came, in which
- * case the order may have been carried out or may be carried out later.
+ * Futures complete on the scheduler's thread. A future that completes exceptionally means
+ * that no answer came; the order may have been carried out, or may still be carried out
+ * later.
  */
 public interface EngineOrders {
 
 	/**
-	 * Sets memory aside, or renews what is set aside under the same id.
+	 * Reserves memory, or renews the reservation with the same id.
 	 * @param engine the engine
 	 * @param id the id
-	 * @param tokens how much
-	 * @param duration how long from the order's arrival
+	 * @param tokens the KV-cache tokens to reserve
+	 * @param duration how long the reservation lasts from the arrival of the order
 	 * @return completes with false if the engine refuses
 	 */
 	CompletableFuture<Boolean> reserve(Backend engine, String id, long tokens, Duration duration);
 
 	/**
-	 * Sets who is told what engines say of themselves in their answers.
-	 * @param listener told on the scheduler's thread, before the answer's future
+	 * Sets the listener for the notices about themselves that engines attach to their
+	 * answers.
+	 * @param listener called on the scheduler's thread, before the future of the answer
 	 * completes
 	 */
 	void onNotice(NoticeListener listener);
 
 	/**
-	 * Gives memory back.
+	 * Releases a reservation.
 	 * @param engine the engine
 	 * @param id the id
 	 * @return completes when the engine has answered
@@ -42,7 +44,7 @@
 	CompletableFuture<Void> release(Backend engine, String id);
 
 	/**
-	 * Takes what an engine says of itself.
+	 * Receives the notices of engines.
 	 */
 	@FunctionalInterface
 	interface NoticeListener {
@@ -50,7 +52,7 @@
 		/**
 		 * Called for each answer to an order.
 		 * @param engine the engine
-		 * @param notice what it says
+		 * @param notice the notice in its answer
 		 */
 		void heard(EndpointStart engine, EndpointNotice notice);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/hold/MemoryHold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/hold/MemoryHold.java
@@ -3,13 +3,13 @@
 import org.bramleyscale.internal.gateway.backend.Backend;
 
 /**
- * Memory wanted on one engine.
+ * A request for memory on one engine.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
  *
  * @param engine the engine
- * @param tokens how much, in tokens of context
+ * @param tokens the KV-cache tokens to reserve
  */
 public record MemoryHold(Backend engine, long tokens) {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/hold/MemoryHolds.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/hold/MemoryHolds.java
@@ -14,39 +14,43 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Sets memory aside on groups of engines, all or nothing.
+ * Reserves memory on groups of engines, all or nothing.
  *
  * <p>
  * Engines are asked one after the other in the order of their ids, which is the same on
- * all daemons, so that two groups can't each hold what the other waits for. Holds are
- * short and renewed while they are used: a daemon that dies gives nothing back, and its
- * engines are short of memory until its holds expire. An engine that has started again
- * holds nothing of before; a renewal there would only set memory aside for nobody.
+ * all daemons, so that two groups can't deadlock by each holding what the other waits
+ * for. Holds are short and are renewed while in use: a daemon that crashes releases
+ * nothing, and its engines are short of memory until its holds expire. A restarted engine
+ * has lost its holds, and a renewal there would only reserve memory that nobody uses.
  * Confined to the scheduler's thread.
  */
 public final class MemoryHolds {
 
-	/** A dead daemon's hold ends within this; engines must be free again within 4 s. */
+	/**
+	 * The time after which a hold of a crashed daemon expires; engines must be free again
+	 * within 4 s.
+	 */
 	static final Duration DURATION = Duration.ofMillis(3_500);
 
-	/** Two renewals may be lost before a hold in use expires. */
-	static final Duration RENEWAL = Duration.ofMillis(1_000);
+	/** The interval between renewals; two may be lost before a hold in use expires. */
+	static final Duration RENEWAL_INTERVAL = Duration.ofMillis(1_000);
 
 	/**
-	 * An order without an answer may be carried out up to 12 s later, and would set
-	 * memory aside anew after it was given back; so it is given back again until then.
+	 * How long a release is repeated after an order without an answer. Such an order may
+	 * be carried out up to 12 s later and would reserve the memory again after its
+	 * release.
 	 */
-	static final Duration LATEST_ORDER = Duration.ofMillis(13_000);
+	static final Duration RELEASE_RETRY_PERIOD = Duration.ofMillis(13_000);
 
-	static final Duration AGAIN = Duration.ofMillis(1_500);
+	static final Duration RELEASE_RETRY_INTERVAL = Duration.ofMillis(1_500);
 
 	private final Scheduler scheduler;
 
 	private final EngineOrders orders;
 
-	private final Predicate<Backend> startedAgain;
+	private final Predicate<Backend> restarted;
 
-	private final Predicate<Backend> takes;
+	private final Predicate<Backend> acceptsOrders;
 
 	private final String prefix;
 
@@ -55,41 +59,43 @@
 	private long count;
 
 	/**
-	 * Makes the keeper of holds.
+	 * Creates the manager of holds.
 	 * @param scheduler the daemon's scheduler
-	 * @param orders the orders to engines
-	 * @param startedAgain whether an engine has started again since it was chosen
-	 * @param takes whether an engine may be sent something new
-	 * @param prefix begins each hold's id; differs for each start of each daemon
-	 * @param log takes each decision
+	 * @param orders sends orders to engines
+	 * @param restarted whether an engine has restarted since it was chosen
+	 * @param acceptsOrders whether an engine may be sent a new order
+	 * @param prefix the beginning of each hold's id; differs for each start of each
+	 * daemon
+	 * @param log the decision log
 	 */
-	public MemoryHolds(Scheduler scheduler, EngineOrders orders, Predicate<Backend> startedAgain,
-			Predicate<Backend> takes, String prefix, DecisionLog log) {
+	public MemoryHolds(Scheduler scheduler, EngineOrders orders, Predicate<Backend> restarted,
+			Predicate<Backend> acceptsOrders, String prefix, DecisionLog log) {
 		this.scheduler = scheduler;
 		this.orders = orders;
-		this.startedAgain = startedAgain;
-		this.takes = takes;
+		this.restarted = restarted;
+		this.acceptsOrders = acceptsOrders;
 		this.prefix = prefix;
 		this.log = log;
 	}
 
 	/**
-	 * Sets memory aside.
-	 * @param wanted the engines and how much of each
+	 * Reserves memory.
+	 * @param requested the engines and the memory on each
 	 * @param request the request's id, for the log
-	 * @param outcome told once, never within this call: true if all of it is held
-	 * @return the group, to be released in any case
+	 * @param outcome called once, never within this call, with true if all of the memory
+	 * is held
+	 * @return the group, which must be released in any case
 	 */
-	public Group reserve(List<MemoryHold> wanted, String request, Consumer<Boolean> outcome) {
-		List<MemoryHold> ordered = new ArrayList<>(wanted);
+	public Group reserve(List<MemoryHold> requested, String request, Consumer<Boolean> outcome) {
+		List<MemoryHold> ordered = new ArrayList<>(requested);
 		ordered.sort(Comparator.comparing((MemoryHold hold) -> hold.engine().id().value()));
 		Group group = new Group(this.prefix + "." + this.count++, ordered, request, outcome);
-		this.scheduler.execute(() -> group.next(0));
+		this.scheduler.execute(() -> group.reserveNext(0));
 		return group;
 	}
 
 	/**
-	 * Memory of one request. Confined to the scheduler's thread.
+	 * The holds of one request. Confined to the scheduler's thread.
 	 */
 	public final class Group {
 
@@ -101,7 +107,7 @@
 
 		private final Consumer<Boolean> outcome;
 
-		private int asked;
+		private int orderedCount;
 
 		private boolean released;
 
@@ -120,7 +126,7 @@
 		}
 
 		/**
-		 * The id under which engines keep the memory.
+		 * The id of the reservation on each engine.
 		 * @return the id
 		 */
 		public String id() {
@@ -128,7 +134,7 @@
 		}
 
 		/**
-		 * Gives all of it back; calling again has no effect.
+		 * Releases all holds; has no effect when called again.
 		 */
 		public void release() {
 			if (this.released) {
@@ -136,40 +142,40 @@
 			}
 			this.released = true;
 			this.renewals.cancel();
-			this.holds.subList(0, this.asked).forEach(this::giveBack);
+			this.holds.subList(0, this.orderedCount).forEach(this::sendRelease);
 		}
 
-		private void next(int index) {
+		private void reserveNext(int index) {
 			if (this.released) {
 				return;
 			}
 			if (index == this.holds.size()) {
-				this.renewals = MemoryHolds.this.scheduler.repeat(RENEWAL, this::renew);
+				this.renewals = MemoryHolds.this.scheduler.repeat(RENEWAL_INTERVAL, this::renew);
 				MemoryHolds.this.log.request(this.request, "memory held", "hold", this.id, "engines", index);
 				this.outcome.accept(true);
 				return;
 			}
 			MemoryHold hold = this.holds.get(index);
-			if (!MemoryHolds.this.takes.test(hold.engine())) {
-				notHeld(hold, "leaves or rests");
+			if (!MemoryHolds.this.acceptsOrders.test(hold.engine())) {
+				fail(hold, "engine is leaving or asked for rest");
 				return;
 			}
-			this.asked = index + 1;
+			this.orderedCount = index + 1;
 			order(hold).whenComplete((held, failure) -> {
-				note(failure);
+				recordFailure(failure);
 				if (this.released) {
 					return;
 				}
 				if (failure == null && held) {
-					next(index + 1);
+					reserveNext(index + 1);
 				}
 				else {
-					notHeld(hold, (failure != null) ? failure.getMessage() : "refused");
+					fail(hold, (failure != null) ? failure.getMessage() : "refused");
 				}
 			});
 		}
 
-		private void notHeld(MemoryHold hold, String cause) {
+		private void fail(MemoryHold hold, String cause) {
 			MemoryHolds.this.log.request(this.request, "memory not held", "hold", this.id, "engine", hold.engine().id(),
 					"tokens", hold.tokens(), "cause", cause);
 			release();
@@ -181,32 +187,32 @@
 		}
 
 		private void renew() {
-			this.holds.stream().filter(this::kept).forEach((hold) -> order(hold).whenComplete((held, failure) -> {
-				note(failure);
+			this.holds.stream().filter(this::stillValid).forEach((hold) -> order(hold).whenComplete((held, failure) -> {
+				recordFailure(failure);
 				if (this.released && failure == null && held) {
-					// The renewal overtook the giving back.
-					giveBack(hold);
+					// The renewal arrived after the release.
+					sendRelease(hold);
 				}
 			}));
 		}
 
-		private boolean kept(MemoryHold hold) {
-			return !MemoryHolds.this.startedAgain.test(hold.engine());
+		private boolean stillValid(MemoryHold hold) {
+			return !MemoryHolds.this.restarted.test(hold.engine());
 		}
 
-		private void giveBack(MemoryHold hold) {
+		private void sendRelease(MemoryHold hold) {
 			MemoryHolds.this.orders.release(hold.engine(), this.id).whenComplete((done, failure) -> {
-				note(failure);
+				recordFailure(failure);
 				if (this.unanswered
-						&& MemoryHolds.this.scheduler.nanos() - this.unansweredAt < LATEST_ORDER.toNanos()) {
-					MemoryHolds.this.scheduler.schedule(AGAIN, () -> giveBack(hold));
+						&& MemoryHolds.this.scheduler.nanos() - this.unansweredAt < RELEASE_RETRY_PERIOD.toNanos()) {
+					MemoryHolds.this.scheduler.schedule(RELEASE_RETRY_INTERVAL, () -> sendRelease(hold));
 				}
 			});
 		}
 
-		private void note(Throwable failure) {
-			// Orders that give memory back are repeated too, but don't prolong the
-			// repeating.
+		private void recordFailure(Throwable failure) {
+			// Orders that release memory are repeated too, but their failures don't
+			// extend the time in which releases are repeated.
 			if (failure != null && (!this.released || !this.unanswered)) {
 				this.unanswered = true;
 				this.unansweredAt = MemoryHolds.this.scheduler.nanos();
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/hold/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/hold/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Memory set aside on engines for prompts that are larger than one engine's memory.
+ * Reserves memory on other engines for prompts that exceed the memory of one engine.
  */
 package org.bramleyscale.internal.gateway.hold;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/retry/RetryWindow.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/retry/RetryWindow.java
@@ -11,22 +11,24 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Bounds the requests sent a second time in each window, for each service.
+ * A retry budget for each service, over a sliding window.
  *
  * <p>
- * When endpoints fail for everybody, each request sent again is one more for those that
- * are left, and the outage feeds itself. Over all daemons no window may hold more repeats
- * than a ratio of its requests plus a constant. Every daemon keeps to the ratio of its
- * own requests plus its part of the constant, so the bound holds without a message, also
- * between daemons that can't hear each other. Confined to the scheduler's thread.
+ * When endpoints fail for many callers, retries add load to the remaining endpoints and
+ * the outage amplifies itself. Over all daemons, no window may contain more retries than
+ * a ratio of its requests plus a constant. Each daemon applies the ratio to its own
+ * requests and takes its share of the constant, so the bound holds without coordination,
+ * also between daemons that are partitioned from each other. Confined to the scheduler's
+ * thread.
  */
 public final class RetryWindow {
 
 	/**
-	 * The part of the constant that is used: daemons that start again forget what they
-	 * spent, and peers that can't be heard divide the constant by too few.
+	 * The share of the constant that is used. Restarted daemons lose their count of
+	 * retries, and daemons that don't see all peers divide the constant by too small a
+	 * number.
 	 */
-	private static final double USED_PART = 0.6;
+	private static final double CONSTANT_SHARE = 0.6;
 
 	private static final int BUCKETS = 20;
 
@@ -43,12 +45,13 @@
 	private final Map<ServiceName, Window> windows = new HashMap<>();
 
 	/**
-	 * Makes a budget.
+	 * Creates a budget.
 	 * @param clock the daemon's clock
-	 * @param window the window's length
-	 * @param ratio repeats allowed for each request
-	 * @param constant repeats allowed in any window besides, for all daemons together
-	 * @param daemons how many daemons there are, at least 1
+	 * @param window the length of the window
+	 * @param ratio the retries permitted for each request
+	 * @param constant the additional retries permitted in any window, for all daemons
+	 * together
+	 * @param daemons the number of daemons, at least 1
 	 */
 	public RetryWindow(Clock clock, Duration window, double ratio, double constant, IntSupplier daemons) {
 		this.clock = clock;
@@ -59,32 +62,32 @@
 	}
 
 	/**
-	 * Notes a request's first arrival.
+	 * Records the first attempt of a request.
 	 * @param service the service
 	 */
 	public void first(ServiceName service) {
-		window(service).last(this.clock.nanos()).firsts++;
+		window(service).currentBucket(this.clock.nanos()).requests++;
 	}
 
 	/**
-	 * Takes a repeat from the budget.
+	 * Takes a retry from the budget.
 	 * @param service the service
-	 * @return false if the budget is spent
+	 * @return false if the budget is exhausted
 	 */
 	public boolean repeat(ServiceName service) {
 		Window window = window(service);
-		Bucket bucket = window.last(this.clock.nanos());
-		int firsts = 0;
-		int repeats = 0;
+		Bucket bucket = window.currentBucket(this.clock.nanos());
+		int requests = 0;
+		int retries = 0;
 		for (Bucket each : window.buckets) {
-			firsts += each.firsts;
-			repeats += each.repeats;
+			requests += each.requests;
+			retries += each.retries;
 		}
-		double allowed = this.ratio * firsts + USED_PART * this.constant / Math.max(1, this.daemons.getAsInt());
-		if (repeats + 1 > allowed) {
+		double allowed = this.ratio * requests + CONSTANT_SHARE * this.constant / Math.max(1, this.daemons.getAsInt());
+		if (retries + 1 > allowed) {
 			return false;
 		}
-		bucket.repeats++;
+		bucket.retries++;
 		return true;
 	}
 
@@ -93,13 +96,13 @@
 	}
 
 	/**
-	 * The latest buckets of one service.
+	 * The buckets of one service within the window.
 	 */
 	private final class Window {
 
 		private final Deque<Bucket> buckets = new ArrayDeque<>();
 
-		private Bucket last(long now) {
+		private Bucket currentBucket(long now) {
 			long index = Math.floorDiv(now, RetryWindow.this.bucketNanos);
 			while (!this.buckets.isEmpty() && this.buckets.peekFirst().index <= index - BUCKETS) {
 				this.buckets.removeFirst();
@@ -113,15 +116,15 @@
 	}
 
 	/**
-	 * What was sent in a twentieth of the window.
+	 * The requests and retries in a twentieth of the window.
 	 */
 	private static final class Bucket {
 
 		private final long index;
 
-		private int firsts;
+		private int requests;
 
-		private int repeats;
+		private int retries;
 
 		private Bucket(long index) {
 			this.index = index;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/retry/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/retry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Bounds how much work daemons add to a service by sending requests a second time.
+ * Limits the load that daemons add to a service by retrying requests.
  */
 package org.bramleyscale.internal.gateway.retry;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/hold/MemoryHoldsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/hold/MemoryHoldsTests.java
@@ -29,17 +29,17 @@
 	private final Engines engines = new Engines();
 
 	private final MemoryHolds holds = new MemoryHolds(this.scheduler, this.engines,
-			(engine) -> this.engines.startedAgain.contains(engine.id().value()),
-			(engine) -> !this.engines.closed.contains(engine.id().value()), "entry-1~5", DecisionLog.NONE);
+			(engine) -> this.engines.restarted.contains(engine.id().value()),
+			(engine) -> !this.engines.notAccepting.contains(engine.id().value()), "entry-1~5", DecisionLog.NONE);
 
 	private final List<Boolean> outcomes = new ArrayList<>();
 
 	@Test
-	void holdsAllInOneOrderAndRenewsUntilReleased() {
+	void reservesInOrderOfIdsAndRenewsUntilReleased() {
 		MemoryHolds.Group group = reserve("b", "a");
 		Truth.assertThat(this.engines.orders).containsExactly("reserve a", "reserve b").inOrder();
 		Truth.assertThat(this.outcomes).containsExactly(true);
-		this.scheduler.advance(MemoryHolds.RENEWAL);
+		this.scheduler.advance(MemoryHolds.RENEWAL_INTERVAL);
 		Truth.assertThat(this.engines.orders).hasSize(4);
 		group.release();
 		group.release();
@@ -49,7 +49,7 @@
 	}
 
 	@Test
-	void givesBackWhatItHasIfOneEngineRefuses() {
+	void releasesAllHoldsIfOneEngineRefuses() {
 		this.engines.full.add("b");
 		reserve("a", "b", "c");
 		Truth.assertThat(this.outcomes).containsExactly(false);
@@ -57,10 +57,10 @@
 		Truth.assertThat(this.engines.orders).doesNotContain("reserve c");
 	}
 
-	/** Guards against orders to engines that leave or rest. */
+	/** Guards against orders to engines that are leaving or backing off. */
 	@Test
-	void asksNothingOfAnEngineThatClosesWhileOthersAreAsked() {
-		this.engines.closed.add("b");
+	void sendsNoOrderToAnEngineThatStopsAcceptingMeanwhile() {
+		this.engines.notAccepting.add("b");
 		reserve("a", "b");
 		Truth.assertThat(this.outcomes).containsExactly(false);
 		Truth.assertThat(this.engines.held).isEmpty();
@@ -69,18 +69,16 @@
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1_000, 5_000, 12_000 })
-	void anOrderThatIsCarriedOutLateDoesNotKeepMemory(long lateMillis) {
-		// Symptom: an engine is short of memory that nobody uses. Sequence: an order gets
-		// no
-		// answer, the request is given up and its memory given back, then the order is
-		// carried out. Cause: the engine sets memory aside for whoever asks, however
-		// late.
-		this.engines.silent.add("a");
+	void anOrderThatIsCarriedOutLateIsReleased(long lateMillis) {
+		// Guards against memory that stays reserved on an engine without a user: an order
+		// gets no answer, the request is abandoned and its memory released, then the
+		// engine carries the order out, since it accepts orders however late.
+		this.engines.unresponsive.add("a");
 		reserve("a");
 		this.scheduler.advance(Duration.ofMillis(lateMillis));
-		this.engines.silent.clear();
+		this.engines.unresponsive.clear();
 		this.engines.held.add("a");
-		this.scheduler.advance(MemoryHolds.AGAIN.plusMillis(1));
+		this.scheduler.advance(MemoryHolds.RELEASE_RETRY_INTERVAL.plusMillis(1));
 		Truth.assertThat(this.engines.held).isEmpty();
 		this.scheduler.advance(Duration.ofMinutes(1));
 		int orders = this.engines.orders.size();
@@ -89,15 +87,14 @@
 	}
 
 	@Test
-	void anEngineThatStartedAgainGetsNoRenewal() {
-		// Symptom: an engine is short of memory just after its start. Sequence: a
-		// prompt's
-		// memory is held, its engine crashes and starts again under its id, the hold is
-		// renewed there. Cause: a renewal of an unknown hold makes a new one.
+	void aRestartedEngineGetsNoRenewal() {
+		// Guards against memory that stays reserved on a restarted engine: the engine
+		// crashes while it holds memory for a prompt and restarts under the same id, and
+		// a renewal of an unknown hold would create a new one.
 		MemoryHolds.Group group = reserve("a", "b");
-		this.engines.startedAgain.add("a");
+		this.engines.restarted.add("a");
 		this.engines.held.remove("a");
-		this.scheduler.advance(MemoryHolds.RENEWAL.multipliedBy(3));
+		this.scheduler.advance(MemoryHolds.RENEWAL_INTERVAL.multipliedBy(3));
 		Truth.assertThat(this.engines.held).containsExactly("b");
 		group.release();
 		Truth.assertThat(this.engines.held).isEmpty();
@@ -109,18 +106,18 @@
 	}
 
 	private MemoryHolds.Group reserve(String... names) {
-		List<MemoryHold> wanted = new ArrayList<>();
+		List<MemoryHold> requested = new ArrayList<>();
 		for (String name : names) {
-			wanted.add(new MemoryHold(new Backend(EndpointStart.untold(name), new ServiceName("quotes"),
+			requested.add(new MemoryHold(new Backend(EndpointStart.untold(name), new ServiceName("quotes"),
 					HostAndPort.fromParts("10.0.0.1", 80), new DataCentre("east"), 4, false), 1_000));
 		}
-		MemoryHolds.Group group = this.holds.reserve(wanted, "r1", this.outcomes::add);
+		MemoryHolds.Group group = this.holds.reserve(requested, "r1", this.outcomes::add);
 		this.scheduler.runDue();
 		return group;
 	}
 
 	/**
-	 * Engines that answer at once, refuse, or say nothing.
+	 * Engines that answer at once, refuse, or don't answer.
 	 */
 	private static final class Engines implements EngineOrders {
 
@@ -130,22 +127,22 @@
 
 		private final Set<String> full = new HashSet<>();
 
-		private final Set<String> closed = new HashSet<>();
+		private final Set<String> notAccepting = new HashSet<>();
 
-		private final Set<String> silent = new HashSet<>();
+		private final Set<String> unresponsive = new HashSet<>();
 
-		private final Set<String> startedAgain = new HashSet<>();
+		private final Set<String> restarted = new HashSet<>();
 
 		@Override
 		public void onNotice(NoticeListener listener) {
-			// These engines say nothing.
+			// These engines send no notices.
 		}
 
 		@Override
 		public CompletableFuture<Boolean> reserve(Backend engine, String id, long tokens, Duration duration) {
 			String name = engine.id().value();
 			this.orders.add("reserve " + name);
-			if (this.silent.contains(name)) {
+			if (this.unresponsive.contains(name)) {
 				return CompletableFuture.failedFuture(new java.io.IOException("no answer"));
 			}
 			if (!this.full.contains(name)) {
@@ -158,7 +155,7 @@
 		public CompletableFuture<Void> release(Backend engine, String id) {
 			String name = engine.id().value();
 			this.orders.add("release " + name);
-			if (this.silent.contains(name)) {
+			if (this.unresponsive.contains(name)) {
 				return CompletableFuture.failedFuture(new java.io.IOException("no answer"));
 			}
 			this.held.remove(name);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/hold/NoOrders.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/hold/NoOrders.java
@@ -6,13 +6,13 @@
 import org.bramleyscale.internal.gateway.backend.Backend;
 
 /**
- * Engines that take no orders, for tests of requests that need none.
+ * Engines that accept no orders, for tests of requests that need none.
  */
 public final class NoOrders implements EngineOrders {
 
 	@Override
 	public void onNotice(NoticeListener listener) {
-		// These engines say nothing.
+		// These engines send no notices.
 	}
 
 	@Override
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/hold/PendingOrders.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/hold/PendingOrders.java
@@ -8,16 +8,16 @@
 import org.bramleyscale.internal.gateway.backend.Backend;
 
 /**
- * Engines that answer orders for memory when a test says so. Confined to the test's
- * thread.
+ * Engines that answer reservations only when a test completes them. Confined to the
+ * test's thread.
  */
 public final class PendingOrders implements EngineOrders {
 
 	private final Deque<CompletableFuture<Boolean>> pending = new ArrayDeque<>();
 
 	/**
-	 * Answers the oldest order that waits.
-	 * @param held whether the memory is held
+	 * Answers the oldest pending reservation.
+	 * @param held whether the memory is reserved
 	 */
 	public void answer(boolean held) {
 		this.pending.remove().complete(held);
@@ -25,7 +25,7 @@
 
 	@Override
 	public void onNotice(NoticeListener listener) {
-		// These engines say nothing.
+		// These engines send no notices.
 	}
 
 	@Override
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/retry/RetryWindowTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/retry/RetryWindowTests.java
@@ -22,33 +22,33 @@
 
 	@ParameterizedTest
 	@CsvSource({ "0, 7, 8", "100, 7, 28", "100, 1, 81", "0, 1000, 0" })
-	void boundsRepeatsByRequestsAndThePartOfTheConstant(int firsts, int daemons, int allowed) {
+	void boundsRetriesByRequestsAndShareOfTheConstant(int requests, int daemons, int allowed) {
 		RetryWindow window = new RetryWindow(this.scheduler, WINDOW, 0.2, 102, () -> daemons);
-		for (int i = 0; i < firsts; i++) {
+		for (int i = 0; i < requests; i++) {
 			window.first(SERVICE);
 		}
-		int taken = 0;
-		while (taken < 1_000 && window.repeat(SERVICE)) {
-			taken++;
+		int retries = 0;
+		while (retries < 1_000 && window.repeat(SERVICE)) {
+			retries++;
 		}
-		Truth.assertThat(taken).isEqualTo(allowed);
+		Truth.assertThat(retries).isEqualTo(allowed);
 	}
 
 	@Test
-	void noWindowHoldsMoreThanItsBudgetWhileEverythingFails() {
-		// Symptom: endpoints that are left get three times their load. Sequence: half of
-		// the endpoints fail, each request is sent again. Cause: nothing bounds repeats.
+	void noWindowExceedsItsBudgetWhileAllRequestsFail() {
+		// Guards against retries that triple the load of the remaining endpoints: half of
+		// the endpoints fail, and each request is retried without a bound.
 		RetryWindow window = new RetryWindow(this.scheduler, WINDOW, 0.2, 102, () -> 7);
-		int repeats = 0;
+		int retries = 0;
 		for (int i = 0; i < 1_000; i++) {
 			window.first(SERVICE);
-			repeats += window.repeat(SERVICE) ? 1 : 0;
-			repeats += window.repeat(SERVICE) ? 1 : 0;
+			retries += window.repeat(SERVICE) ? 1 : 0;
+			retries += window.repeat(SERVICE) ? 1 : 0;
 			this.scheduler.advance(Duration.ofMillis(100));
 		}
 		// 1,000 requests in 100 s: a fifth of them, and 8.7 in each of ten windows.
-		Truth.assertThat(repeats).isAtMost(200 + 88);
-		Truth.assertThat(repeats).isAtLeast(200);
+		Truth.assertThat(retries).isAtMost(200 + 88);
+		Truth.assertThat(retries).isAtLeast(200);
 	}
 
 }
