--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/DemandBoard.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/DemandBoard.java
@@ -11,82 +11,83 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * How many short requests are under way, and how much reading waits at daemons, by
- * service and over all daemons.
+ * Tracks, for each service and over all daemons, the active short requests and the
+ * prefill work that waits at daemons.
  *
  * <p>
- * Invariant: what a silent daemon told counts for {@link LoadBoard#PEER_KEPT}. Confined
- * to the scheduler's thread.
+ * Invariant: the demand of a peer expires {@link LoadBoard#PEER_EXPIRY} after its last
+ * update. Confined to the scheduler's thread.
  */
 public final class DemandBoard {
 
 	private final Clock clock;
 
-	private final Map<ServiceName, Own> own = new HashMap<>();
+	private final Map<ServiceName, LocalDemand> local = new HashMap<>();
 
-	private final Map<String, Told> others = new HashMap<>();
+	private final Map<String, PeerDemand> peers = new HashMap<>();
 
 	public DemandBoard(Clock clock) {
 		this.clock = clock;
 	}
 
 	public void shortBegan(ServiceName service) {
-		own(service).shortActive++;
+		local(service).shortActive++;
 	}
 
 	public void shortEnded(ServiceName service) {
-		own(service).shortActive--;
+		local(service).shortActive--;
 	}
 
 	/**
-	 * Notes that a long prompt isn't sent yet.
+	 * Records that a long prompt waits to be sent.
 	 * @param service the service
-	 * @param readMillis its reading, ms
+	 * @param prefillMillis its prefill time, ms
 	 */
-	public void waitBegan(ServiceName service, double readMillis) {
-		Own demand = own(service);
+	public void waitBegan(ServiceName service, double prefillMillis) {
+		LocalDemand demand = local(service);
 		demand.waiting++;
-		demand.waitingMillis += readMillis;
+		demand.waitingMillis += prefillMillis;
 	}
 
 	/**
-	 * Notes that a long prompt waits no more.
+	 * Records that a long prompt no longer waits.
 	 * @param service the service
-	 * @param readMillis its reading, ms, as it was when it began to wait
+	 * @param prefillMillis its prefill time, ms, as passed when it began to wait
 	 */
-	public void waitEnded(ServiceName service, double readMillis) {
-		Own demand = own(service);
+	public void waitEnded(ServiceName service, double prefillMillis) {
+		LocalDemand demand = local(service);
 		demand.waiting--;
-		demand.waitingMillis -= readMillis;
+		demand.waitingMillis -= prefillMillis;
 	}
 
 	/**
-	 * The reading that is done before a prompt's own, if shorter prompts go first.
+	 * The waiting prefill work that is done before a given prompt if shorter prompts go
+	 * first.
 	 * @param service the service
-	 * @param readMillis the prompt's reading, ms
-	 * @return the time of one engine, ms
+	 * @param prefillMillis the prefill time of the prompt, ms
+	 * @return the time on one engine, ms
 	 */
-	public double waitingAhead(ServiceName service, double readMillis) {
-		Own mine = own(service);
-		double sum = ahead(mine.waiting, mine.waitingMillis, readMillis);
-		for (LoadTold.Demand demand : told(service)) {
-			sum += ahead(demand.waiting(), demand.waitingMillis(), readMillis);
+	public double waitingAhead(ServiceName service, double prefillMillis) {
+		LocalDemand localDemand = local(service);
+		double sum = prefillAhead(localDemand.waiting, localDemand.waitingMillis, prefillMillis);
+		for (LoadTold.Demand demand : peerDemands(service)) {
+			sum += prefillAhead(demand.waiting(), demand.waitingMillis(), prefillMillis);
 		}
 		return sum;
 	}
 
-	private static double ahead(int waiting, double waitingMillis, double readMillis) {
-		return (waiting > 0) ? waiting * Math.min(readMillis, waitingMillis / waiting) : 0;
+	private static double prefillAhead(int waiting, double waitingMillis, double prefillMillis) {
+		return (waiting > 0) ? waiting * Math.min(prefillMillis, waitingMillis / waiting) : 0;
 	}
 
 	/**
-	 * Short requests under way on all daemons.
+	 * The active short requests on all daemons.
 	 * @param service the service
 	 * @return the number
 	 */
 	public int shortActive(ServiceName service) {
-		int sum = own(service).shortActive;
-		for (LoadTold.Demand demand : told(service)) {
+		int sum = local(service).shortActive;
+		for (LoadTold.Demand demand : peerDemands(service)) {
 			sum += demand.shortActive();
 		}
 		return sum;
@@ -94,52 +95,54 @@
 
 	public List<LoadTold.Demand> demands() {
 		List<LoadTold.Demand> demands = new ArrayList<>();
-		this.own.forEach((service, demand) -> demands.add(new LoadTold.Demand(service.value(), demand.shortActive,
+		this.local.forEach((service, demand) -> demands.add(new LoadTold.Demand(service.value(), demand.shortActive,
 				demand.waiting, (int) Math.round(demand.waitingMillis))));
 		return demands;
 	}
 
 	/**
-	 * Takes what was told of others' demand; it replaces what the same source told
-	 * before.
-	 * @param source a peer, or a group of them
+	 * Replaces the demand that a source last reported.
+	 * @param source a peer, or a group of peers
 	 * @param demands the demand by service
 	 */
 	public void told(String source, List<LoadTold.Demand> demands) {
-		this.others.put(source, new Told(this.clock.nanos(), demands));
+		this.peers.put(source, new PeerDemand(this.clock.nanos(), demands));
 	}
 
-	private List<LoadTold.Demand> told(ServiceName service) {
+	private List<LoadTold.Demand> peerDemands(ServiceName service) {
 		List<LoadTold.Demand> result = new ArrayList<>();
-		Set<String> silent = new HashSet<>();
-		this.others.forEach((source, told) -> {
-			if (this.clock.nanos() - told.at() > LoadBoard.PEER_KEPT.toNanos()) {
-				silent.add(source);
+		Set<String> expired = new HashSet<>();
+		this.peers.forEach((source, peerDemand) -> {
+			if (this.clock.nanos() - peerDemand.receivedAt() > LoadBoard.PEER_EXPIRY.toNanos()) {
+				expired.add(source);
 				return;
 			}
-			told.demands().stream().filter((demand) -> demand.service().equals(service.value())).forEach(result::add);
+			peerDemand.demands()
+				.stream()
+				.filter((demand) -> demand.service().equals(service.value()))
+				.forEach(result::add);
 		});
-		this.others.keySet().removeAll(silent);
+		this.peers.keySet().removeAll(expired);
 		return result;
 	}
 
-	private Own own(ServiceName service) {
-		return this.own.computeIfAbsent(service, (name) -> new Own());
+	private LocalDemand local(ServiceName service) {
+		return this.local.computeIfAbsent(service, (name) -> new LocalDemand());
 	}
 
 	/**
-	 * What a peer told.
+	 * The demand reported by a source.
 	 *
-	 * @param at when it arrived
-	 * @param demands its demand by service
+	 * @param receivedAt when the report arrived
+	 * @param demands the demand by service
 	 */
-	private record Told(long at, List<LoadTold.Demand> demands) {
+	private record PeerDemand(long receivedAt, List<LoadTold.Demand> demands) {
 	}
 
 	/**
-	 * This daemon's demand for one service.
+	 * The demand at this daemon for one service.
 	 */
-	private static final class Own {
+	private static final class LocalDemand {
 
 		private int shortActive;
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadBoard.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadBoard.java
@@ -12,36 +12,38 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Who does how much at which endpoint: this daemon's own requests and what peers told.
+ * Tracks the load of each endpoint: this daemon's own requests and those that peers
+ * report.
  *
  * <p>
- * An endpoint's own report is some hundred milliseconds old and costs a call; what
- * daemons sent is known at once. Invariant: a peer that falls silent counts for
- * {@link #PEER_KEPT} and no longer, so that a dead daemon's requests don't keep an
- * endpoint looking busy. Confined to the scheduler's thread.
+ * An endpoint's own report is some hundred milliseconds old and costs a call, whereas
+ * daemons know at once what they send. Invariant: the load of a peer expires
+ * {@link #PEER_EXPIRY} after its last update, so that requests of a failed daemon don't
+ * make an endpoint look busy. Confined to the scheduler's thread.
  */
 public final class LoadBoard {
 
-	/** Ten tellings may be lost before a peer's requests count as ended. */
-	static final Duration PEER_KEPT = Duration.ofMillis(1_000);
+	/** A peer's load expires after this; ten updates may be lost before. */
+	static final Duration PEER_EXPIRY = Duration.ofMillis(1_000);
 
 	/**
-	 * What of a prompt counts as unread until its first event comes, however long it
-	 * takes: predictions are sometimes too short, and an engine that is late isn't free.
+	 * The share of a prompt's prefill that counts as remaining until its first event,
+	 * however long it takes. Predictions are sometimes too short, and an engine that is
+	 * late is still busy.
 	 */
-	private static final double LEAST_UNREAD = 0.15;
+	private static final double MIN_REMAINING_SHARE = 0.15;
 
 	private static final double NANOS_PER_MILLI = 1_000_000;
 
 	private final Clock clock;
 
-	private final Map<EndpointStart, Set<Work>> own = new HashMap<>();
+	private final Map<EndpointStart, Set<Work>> local = new HashMap<>();
 
-	private final Map<EndpointStart, Long> lastRead = new HashMap<>();
+	private final Map<EndpointStart, Long> lastPrefillAt = new HashMap<>();
 
-	private final Map<String, Told> others = new HashMap<>();
+	private final Map<String, PeerLoad> peers = new HashMap<>();
 
-	private Runnable changed = () -> {
+	private Runnable changeListener = () -> {
 	};
 
 	public LoadBoard(Clock clock) {
@@ -49,151 +51,157 @@
 	}
 
 	/**
-	 * Sets what is called when work of this daemon begins, is read, or ends.
+	 * Sets the listener that is called when work of this daemon begins, completes its
+	 * prefill, or ends.
 	 * @param listener the listener
 	 */
 	public void onChange(Runnable listener) {
-		this.changed = listener;
+		this.changeListener = listener;
 	}
 
 	/**
-	 * Forgets an endpoint that is gone.
+	 * Removes an endpoint that no longer exists.
 	 * @param endpoint the endpoint
 	 */
 	public void forget(EndpointStart endpoint) {
-		this.lastRead.remove(endpoint);
+		this.lastPrefillAt.remove(endpoint);
 	}
 
 	/**
-	 * Notes work sent to an endpoint.
+	 * Records work sent to an endpoint.
 	 * @param endpoint the endpoint
-	 * @param readMillis the prompt, or the part of it, that it reads, in ms of reading
-	 * @param tokens the context that it keeps in memory
-	 * @param active false if it only helps to read
-	 * @param pauseMillis the longest pause that its stream may have, ms, or
+	 * @param prefillMillis the prefill time of the prompt, or of the endpoint's part of
+	 * it, ms
+	 * @param tokens the KV-cache tokens that it keeps in memory
+	 * @param active false if the endpoint only helps with the prefill
+	 * @param pauseMillis the longest pause that the stream permits, ms, or
 	 * {@link EndpointLoad#ANY_PAUSE}
-	 * @return the work, to be told when it is read and when it ends
+	 * @return the work, on which the caller reports the end of the prefill and of the
+	 * request
 	 */
-	public Work begin(EndpointStart endpoint, double readMillis, long tokens, boolean active, int pauseMillis) {
-		Work work = new Work(endpoint, readMillis, tokens, active, pauseMillis, this.clock.nanos());
-		this.own.computeIfAbsent(endpoint, (id) -> new LinkedHashSet<>()).add(work);
-		this.changed.run();
+	public Work begin(EndpointStart endpoint, double prefillMillis, long tokens, boolean active, int pauseMillis) {
+		Work work = new Work(endpoint, prefillMillis, tokens, active, pauseMillis, this.clock.nanos());
+		this.local.computeIfAbsent(endpoint, (id) -> new LinkedHashSet<>()).add(work);
+		this.changeListener.run();
 		return work;
 	}
 
 	/**
-	 * All that is known of an endpoint's work. An endpoint reads one prompt after the
-	 * other, so what is unread shrinks by one ms in each, whoever sent it; if each daemon
-	 * counted its own down by itself, ten waiting prompts would seem read after the time
-	 * of one.
+	 * The load of an endpoint. An endpoint prefills one prompt after the other, so the
+	 * sum over all daemons shrinks by one millisecond in each millisecond. If each daemon
+	 * counted down its own prompts separately, ten queued prompts would seem complete
+	 * after the time of one.
 	 * @param endpoint the endpoint
 	 * @return the sum over this daemon and its peers
 	 */
 	public EndpointLoad load(EndpointStart endpoint) {
 		long now = this.clock.nanos();
-		OwnWork mine = ownWork(endpoint);
-		Reading reading = mine.reading();
-		int active = mine.active();
-		long tokens = mine.tokens();
-		int helping = mine.helping();
-		int pause = mine.pauseMillis();
-		for (Told told : this.others.values()) {
-			ToldShare theirs = told.shares().get(endpoint);
-			if (theirs != null && now - told.at() < PEER_KEPT.toNanos()) {
-				active += theirs.share().active();
-				tokens += theirs.share().tokens();
-				helping += theirs.share().helping();
-				pause = Math.min(pause, theirs.share().pauseMillis());
-				reading = reading.plus(theirs.reading());
+		LocalWork localWork = localWork(endpoint);
+		PrefillBacklog prefill = localWork.prefill();
+		int active = localWork.active();
+		long tokens = localWork.tokens();
+		int helping = localWork.helping();
+		int pauseMillis = localWork.pauseMillis();
+		for (PeerLoad peer : this.peers.values()) {
+			PeerShare peerShare = peer.shares().get(endpoint);
+			if (peerShare != null && now - peer.receivedAt() < PEER_EXPIRY.toNanos()) {
+				active += peerShare.share().active();
+				tokens += peerShare.share().tokens();
+				helping += peerShare.share().helping();
+				pauseMillis = Math.min(pauseMillis, peerShare.share().pauseMillis());
+				prefill = prefill.plus(peerShare.prefill());
 			}
 		}
-		return new EndpointLoad(active, reading.unread(now), tokens, helping, pause);
+		return new EndpointLoad(active, prefill.remaining(now), tokens, helping, pauseMillis);
 	}
 
 	/**
-	 * The requests under way at all endpoints, as far as told.
+	 * The active requests at all endpoints, of this daemon and of its peers.
 	 * @return the number
 	 */
 	public int underWay() {
 		long now = this.clock.nanos();
 		int sum = 0;
-		for (Set<Work> works : this.own.values()) {
+		for (Set<Work> works : this.local.values()) {
 			sum += (int) works.stream().filter((work) -> work.active).count();
 		}
-		for (Told told : this.others.values()) {
-			if (now - told.at() < PEER_KEPT.toNanos()) {
-				sum += told.shares().values().stream().mapToInt((theirs) -> theirs.share().active()).sum();
+		for (PeerLoad peer : this.peers.values()) {
+			if (now - peer.receivedAt() < PEER_EXPIRY.toNanos()) {
+				sum += peer.shares().values().stream().mapToInt((peerShare) -> peerShare.share().active()).sum();
 			}
 		}
 		return sum;
 	}
 
 	/**
-	 * This daemon's own work at endpoints, for its peers.
-	 * @return the endpoints with work
+	 * This daemon's own load by endpoint, for its peers.
+	 * @return the endpoints with load
 	 */
 	public List<LoadTold.Share> shares() {
 		long now = this.clock.nanos();
 		List<LoadTold.Share> shares = new ArrayList<>();
-		for (EndpointStart endpoint : this.own.keySet()) {
-			OwnWork mine = ownWork(endpoint);
-			Reading reading = mine.reading();
-			shares.add(new LoadTold.Share(endpoint.toString(), mine.active(), (int) Math.ceil(reading.millis()),
-					mine.tokens(), (reading.millis() > 0) ? millisSince(reading.oldest(), now) : 0,
-					(reading.done() != Reading.NEVER) ? millisSince(reading.done(), now) : LoadTold.Share.NEVER,
-					mine.helping(), mine.pauseMillis()));
+		for (EndpointStart endpoint : this.local.keySet()) {
+			LocalWork localWork = localWork(endpoint);
+			PrefillBacklog prefill = localWork.prefill();
+			shares
+				.add(new LoadTold.Share(endpoint.toString(), localWork.active(), (int) Math.ceil(prefill.millis()),
+						localWork.tokens(), (prefill.millis() > 0) ? millisSince(prefill.oldestAt(), now) : 0,
+						(prefill.lastCompletedAt() != PrefillBacklog.NEVER)
+								? millisSince(prefill.lastCompletedAt(), now) : LoadTold.Share.NEVER,
+						localWork.helping(), localWork.pauseMillis()));
 		}
 		return shares;
 	}
 
 	/**
-	 * Takes what was told of others' work; it replaces what the same source told before.
-	 * @param source a peer, or a group of them
-	 * @param shares the work at endpoints
+	 * Replaces the load that a source last reported.
+	 * @param source a peer, or a group of peers
+	 * @param shares the load by endpoint
 	 */
 	public void told(String source, List<LoadTold.Share> shares) {
-		this.others.put(source, new Told(this.clock.nanos(), new HashMap<>()));
-		toldMore(source, shares);
+		this.peers.put(source, new PeerLoad(this.clock.nanos(), new HashMap<>()));
+		merge(source, shares);
 	}
 
 	/**
-	 * Takes what was told of others' work at some endpoints; what the same source told of
-	 * other endpoints holds.
-	 * @param source a peer, or a group of them
-	 * @param shares the work at endpoints
+	 * Updates the load that a source reports for some endpoints; the load that it
+	 * reported for others remains.
+	 * @param source a peer, or a group of peers
+	 * @param shares the load by endpoint
 	 */
-	public void toldMore(String source, List<LoadTold.Share> shares) {
+	public void merge(String source, List<LoadTold.Share> shares) {
 		long now = this.clock.nanos();
-		Told before = this.others.get(source);
-		Map<EndpointStart, ToldShare> byEndpoint = (before != null) ? before.shares() : new HashMap<>();
+		PeerLoad previous = this.peers.get(source);
+		Map<EndpointStart, PeerShare> byEndpoint = (previous != null) ? previous.shares() : new HashMap<>();
 		for (LoadTold.Share share : shares) {
 			EndpointStart endpoint = EndpointStart.parse(share.endpoint());
 			if (share.idle()) {
 				byEndpoint.remove(endpoint);
 			}
 			else {
-				byEndpoint.put(endpoint, new ToldShare(share, now));
+				byEndpoint.put(endpoint, new PeerShare(share, now));
 			}
 		}
-		this.others.put(source, new Told(now, byEndpoint));
+		this.peers.put(source, new PeerLoad(now, byEndpoint));
 	}
 
-	private OwnWork ownWork(EndpointStart endpoint) {
+	private LocalWork localWork(EndpointStart endpoint) {
 		int active = 0;
 		long tokens = 0;
 		int helping = 0;
-		int pause = EndpointLoad.ANY_PAUSE;
-		Reading reading = new Reading(0, Long.MAX_VALUE, this.lastRead.getOrDefault(endpoint, Reading.NEVER));
-		for (Work work : this.own.getOrDefault(endpoint, Set.of())) {
+		int pauseMillis = EndpointLoad.ANY_PAUSE;
+		PrefillBacklog prefill = new PrefillBacklog(0, Long.MAX_VALUE,
+				this.lastPrefillAt.getOrDefault(endpoint, PrefillBacklog.NEVER));
+		for (Work work : this.local.getOrDefault(endpoint, Set.of())) {
 			active += work.active ? 1 : 0;
 			tokens += work.tokens;
-			pause = Math.min(pause, work.pauseMillis);
-			if (!work.read) {
+			pauseMillis = Math.min(pauseMillis, work.pauseMillis);
+			if (!work.prefillDone) {
 				helping += work.active ? 0 : 1;
-				reading = reading.plus(new Reading(work.readMillis, work.begun, Reading.NEVER));
+				prefill = prefill.plus(new PrefillBacklog(work.prefillMillis, work.startedAt, PrefillBacklog.NEVER));
 			}
 		}
-		return new OwnWork(active, tokens, reading, helping, pause);
+		return new LocalWork(active, tokens, prefill, helping, pauseMillis);
 	}
 
 	private static int millisSince(long then, long now) {
@@ -201,80 +209,81 @@
 	}
 
 	/**
-	 * What a peer told.
+	 * The load reported by a source.
 	 *
-	 * @param at when it last told something
-	 * @param shares its work by endpoint
+	 * @param receivedAt when its last update arrived
+	 * @param shares its load by endpoint
 	 */
-	private record Told(long at, Map<EndpointStart, ToldShare> shares) {
+	private record PeerLoad(long receivedAt, Map<EndpointStart, PeerShare> shares) {
 	}
 
 	/**
-	 * What a peer told of one endpoint.
+	 * The load reported by a source for one endpoint.
 	 *
-	 * @param share its work there
-	 * @param at when that arrived
+	 * @param share the load
+	 * @param receivedAt when it arrived
 	 */
-	private record ToldShare(LoadTold.Share share, long at) {
+	private record PeerShare(LoadTold.Share share, long receivedAt) {
 
-		Reading reading() {
-			long done = (this.share.doneMillis() >= 0) ? before(this.share.doneMillis()) : Reading.NEVER;
-			long oldest = (this.share.readMillis() > 0) ? before(this.share.oldestMillis()) : Long.MAX_VALUE;
-			return new Reading(this.share.readMillis(), oldest, done);
+		PrefillBacklog prefill() {
+			long lastCompletedAt = (this.share.doneMillis() >= 0) ? before(this.share.doneMillis())
+					: PrefillBacklog.NEVER;
+			long oldestAt = (this.share.prefillMillis() > 0) ? before(this.share.oldestMillis()) : Long.MAX_VALUE;
+			return new PrefillBacklog(this.share.prefillMillis(), oldestAt, lastCompletedAt);
 		}
 
 		private long before(int millis) {
-			return this.at - (long) (millis * NANOS_PER_MILLI);
+			return this.receivedAt - (long) (millis * NANOS_PER_MILLI);
 		}
 
 	}
 
 	/**
-	 * This daemon's work at an endpoint.
+	 * This daemon's own load at an endpoint.
 	 *
-	 * @param active requests that haven't ended
-	 * @param tokens context in memory
-	 * @param reading what is to be read
-	 * @param helping parts that it reads for other endpoints
-	 * @param pauseMillis the strictest pause of its streams, ms
+	 * @param active requests that have not ended
+	 * @param tokens KV-cache tokens in memory
+	 * @param prefill the prefill backlog
+	 * @param helping parts that it prefills for other endpoints
+	 * @param pauseMillis the longest pause that its most sensitive stream permits, ms
 	 */
-	private record OwnWork(int active, long tokens, Reading reading, int helping, int pauseMillis) {
+	private record LocalWork(int active, long tokens, PrefillBacklog prefill, int helping, int pauseMillis) {
 	}
 
 	/**
-	 * What an endpoint has to read.
+	 * The prefill backlog of an endpoint.
 	 *
-	 * @param millis prompts that aren't read to their end, ms
-	 * @param oldest when the first of them was sent
-	 * @param done when one was last read to its end
+	 * @param millis the prefill time of all prompts whose prefill has not completed, ms
+	 * @param oldestAt when the oldest of them was sent
+	 * @param lastCompletedAt when the prefill of a prompt last completed
 	 */
-	private record Reading(double millis, long oldest, long done) {
+	private record PrefillBacklog(double millis, long oldestAt, long lastCompletedAt) {
 
 		private static final long NEVER = Long.MIN_VALUE;
 
-		Reading plus(Reading other) {
-			return new Reading(this.millis + other.millis, Math.min(this.oldest, other.oldest),
-					Math.max(this.done, other.done));
+		PrefillBacklog plus(PrefillBacklog other) {
+			return new PrefillBacklog(this.millis + other.millis, Math.min(this.oldestAt, other.oldestAt),
+					Math.max(this.lastCompletedAt, other.lastCompletedAt));
 		}
 
-		double unread(long now) {
+		double remaining(long now) {
 			if (this.millis <= 0) {
 				return 0;
 			}
-			double reads = (now - Math.max(this.oldest, this.done)) / NANOS_PER_MILLI;
-			return Math.max(LEAST_UNREAD * this.millis, this.millis - Math.max(0, reads));
+			double elapsed = (now - Math.max(this.oldestAt, this.lastCompletedAt)) / NANOS_PER_MILLI;
+			return Math.max(MIN_REMAINING_SHARE * this.millis, this.millis - Math.max(0, elapsed));
 		}
 
 	}
 
 	/**
-	 * One request's work at one endpoint. Confined to the scheduler's thread.
+	 * The work of one request at one endpoint. Confined to the scheduler's thread.
 	 */
 	public final class Work {
 
 		private final EndpointStart endpoint;
 
-		private final double readMillis;
+		private final double prefillMillis;
 
 		private final long tokens;
 
@@ -282,29 +291,29 @@
 
 		private final int pauseMillis;
 
-		private final long begun;
+		private final long startedAt;
 
-		private boolean read;
+		private boolean prefillDone;
 
-		private Work(EndpointStart endpoint, double readMillis, long tokens, boolean active, int pauseMillis,
-				long begun) {
+		private Work(EndpointStart endpoint, double prefillMillis, long tokens, boolean active, int pauseMillis,
+				long startedAt) {
 			this.endpoint = endpoint;
-			this.readMillis = readMillis;
+			this.prefillMillis = prefillMillis;
 			this.tokens = tokens;
 			this.active = active;
 			this.pauseMillis = pauseMillis;
-			this.begun = begun;
+			this.startedAt = startedAt;
 		}
 
 		/**
-		 * Tells that the prompt has been read; one that only helped, and keeps nothing in
-		 * memory, has ended with that.
+		 * Records that the prefill has completed. This ends the work of a helper that
+		 * keeps nothing in memory.
 		 */
-		public void read() {
-			if (!this.read) {
-				this.read = true;
-				LoadBoard.this.lastRead.put(this.endpoint, LoadBoard.this.clock.nanos());
-				LoadBoard.this.changed.run();
+		public void prefillDone() {
+			if (!this.prefillDone) {
+				this.prefillDone = true;
+				LoadBoard.this.lastPrefillAt.put(this.endpoint, LoadBoard.this.clock.nanos());
+				LoadBoard.this.changeListener.run();
 			}
 			if (!this.active && this.tokens == 0) {
 				end();
@@ -312,17 +321,17 @@
 		}
 
 		/**
-		 * Tells that the work has ended; calling again has no effect.
+		 * Records that the work has ended; has no effect when called again.
 		 */
 		public void end() {
-			Set<Work> works = LoadBoard.this.own.get(this.endpoint);
+			Set<Work> works = LoadBoard.this.local.get(this.endpoint);
 			if (works == null || !works.remove(this)) {
 				return;
 			}
 			if (works.isEmpty()) {
-				LoadBoard.this.own.remove(this.endpoint);
+				LoadBoard.this.local.remove(this.endpoint);
 			}
-			LoadBoard.this.changed.run();
+			LoadBoard.this.changeListener.run();
 		}
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadExchange.java
@@ -21,46 +21,53 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Tells peers what this daemon has under way, and takes what they tell.
+ * Sends this daemon's load to its peers and receives theirs.
  *
  * <p>
- * Decisions are as good as what a daemon knows of the others' work is fresh: with 172
- * engines and 95 daemons, 0.83 of the worth of what was asked was earned when daemons
- * heard of each other 250 ms late, 0.91 after 100 ms (the experiment hire-desk-large). So
- * a daemon tells as soon as something begins or ends, but for a moment in which more may
- * happen.
+ * The quality of placement depends on how recent a daemon's view of its peers' load is:
+ * with 172 engines and 95 daemons, 0.83 of the requested worth was earned when updates
+ * took 250 ms, and 0.91 when they took 100 ms (the experiment hire-desk-large). Therefore
+ * a daemon sends an update as soon as work begins or ends, after a short delay that
+ * combines several changes.
  *
  * <p>
- * In a small fleet all tell all. In a large one that would be thousands of messages a
- * second; there each daemon tells the relays of its data centre. Relays tell each other
- * their own work directly, as they are the ones that callers use. Of what the others do
- * they exchange sums, and tell the daemons of their own data centre what all do, each
- * time only of the endpoints at which something changed, and all of them now and then,
- * since a message may be lost with its connection. Confined to the scheduler's thread.
+ * In a small fleet each daemon sends its updates to all others. In a large fleet that
+ * would be thousands of messages a second, so each daemon sends them to the relays of its
+ * data centre. Relays exchange updates of their own load directly, since these are the
+ * daemons that callers use, and sums of the load of the other daemons. They send the sum
+ * over the fleet to the daemons of their data centre. A sum contains only the endpoints
+ * whose load has changed since the last one; a full sum follows periodically, since a
+ * message may be lost with its connection. Confined to the scheduler's thread.
  */
 public final class LoadExchange {
 
-	/** What happens within so long after something began or ended is told at once. */
+	/**
+	 * The delay before an update is sent, which combines changes that follow each other
+	 * closely.
+	 */
 	public static final Duration GATHER = Duration.ofMillis(20);
 
 	/**
-	 * The pause between a relay's sums. A small machine has 14 Mbit/s: at 72 endpoints a
-	 * sum has 3 KB, and a relay with 27 peers that sent one each 50 ms used 10 Mbit/s of
-	 * them. What it had to say queued for seconds, configurations among it.
+	 * The interval between the sums of a relay. A small machine has 14 Mbit/s; with 72
+	 * endpoints a sum has 3 KB, and a relay with 27 peers that sent one each 50 ms used
+	 * 10 Mbit/s of that. Its messages, configurations among them, queued for seconds.
 	 */
-	static final Duration SUM_PAUSE = Duration.ofMillis(200);
+	static final Duration SUM_INTERVAL = Duration.ofMillis(200);
 
-	/** One of so many sums names all endpoints, more than once while a telling counts. */
-	private static final int WHOLE_SUMS = 3;
+	/**
+	 * One of so many sums is full. At least one full sum falls within the time in which a
+	 * peer's load expires.
+	 */
+	private static final int FULL_SUM_PERIOD = 3;
 
 	/**
-	 * The pause between tellings of which nothing has changed, for who missed one; a
-	 * daemon's work counts for {@link LoadBoard#PEER_KEPT} after the last.
+	 * The interval between updates while nothing changes, for peers that missed one. A
+	 * daemon's load expires {@link LoadBoard#PEER_EXPIRY} after its last update.
 	 */
 	public static final Duration PAUSE = Duration.ofMillis(300);
 
-	/** Tellings that may still be in a sum. */
-	private static final int REMEMBERED = (int) LoadBoard.PEER_KEPT.dividedBy(GATHER);
+	/** The number of updates that may still be part of a sum. */
+	private static final int RETAINED_UPDATES = (int) LoadBoard.PEER_EXPIRY.dividedBy(GATHER);
 
 	private static final String FLEET = "fleet";
 
@@ -76,32 +83,32 @@
 
 	private final DemandBoard demands;
 
-	private final Map<VmId, ToldWork> near = new HashMap<>();
+	private final Map<VmId, RemoteLoad> memberLoads = new HashMap<>();
 
-	private final Map<VmId, ToldWork> relays = new HashMap<>();
+	private final Map<VmId, RemoteLoad> relayLoads = new HashMap<>();
 
-	private final Map<String, ToldWork> far = new HashMap<>();
+	private final Map<String, RemoteLoad> dataCentreLoads = new HashMap<>();
 
-	private final PeerSilence silence;
+	private final UnresponsivePeers unresponsivePeers;
 
-	private final Deque<LoadTold> tellings = new ArrayDeque<>();
+	private final Deque<LoadTold> recentUpdates = new ArrayDeque<>();
 
-	private final SumSent toRelays = new SumSent();
+	private final SumDelta toRelays = new SumDelta();
 
-	private final SumSent toNear = new SumSent();
+	private final SumDelta toMembers = new SumDelta();
 
 	private long sequence;
 
-	private boolean tellingSoon;
+	private boolean updateScheduled;
 
 	/**
-	 * Makes the exchange.
+	 * Creates the exchange; {@link #start()} begins to send.
 	 * @param scheduler the daemon's scheduler
-	 * @param network to the peers
+	 * @param network the connections to peers
 	 * @param self this daemon's VM
-	 * @param routes who tells whom
-	 * @param loads what is under way by endpoint
-	 * @param demands what is asked for by service
+	 * @param routes the recipients of updates and sums
+	 * @param loads the load by endpoint
+	 * @param demands the demand by service
 	 */
 	public LoadExchange(Scheduler scheduler, PeerNetwork network, VmId self, LoadRoutes routes, LoadBoard loads,
 			DemandBoard demands) {
@@ -111,13 +118,13 @@
 		this.routes = routes;
 		this.loads = loads;
 		this.demands = demands;
-		this.silence = new PeerSilence(scheduler);
-		network.listen(LoadTold.class, this::told);
-		network.listen(LoadSummed.class, this::summed);
+		this.unresponsivePeers = new UnresponsivePeers(scheduler);
+		network.listen(LoadTold.class, this::onUpdate);
+		network.listen(LoadSummed.class, this::onSum);
 	}
 
 	/**
-	 * Enters this slice's messages.
+	 * Registers the messages of this package.
 	 * @param builder the catalog
 	 */
 	public static void register(MessageCatalog.Builder builder) {
@@ -125,44 +132,46 @@
 	}
 
 	public void start() {
-		this.loads.onChange(this::tellSoon);
+		this.loads.onChange(this::scheduleUpdate);
 		this.scheduler.repeat(PAUSE, this::tell);
-		this.scheduler.repeat(SUM_PAUSE, this::sum);
+		this.scheduler.repeat(SUM_INTERVAL, this::sendSums);
 	}
 
-	private void tellSoon() {
-		if (!this.tellingSoon) {
-			this.tellingSoon = true;
+	private void scheduleUpdate() {
+		if (!this.updateScheduled) {
+			this.updateScheduled = true;
 			this.scheduler.schedule(GATHER, this::tell);
 		}
 	}
 
 	/**
-	 * Tells now; called when a long prompt was sent, which others must not meet unawares.
+	 * Sends an update now. Called when a long prompt has been sent, so that other daemons
+	 * take it into account without delay.
 	 */
 	public void tell() {
-		this.tellingSoon = false;
-		this.silence.forgiveOwnPause();
+		this.updateScheduled = false;
+		this.unresponsivePeers.restartTimeoutsAfterPause();
 		LoadTold message = new LoadTold(++this.sequence, this.loads.shares(), this.demands.demands());
-		this.tellings.addLast(message);
-		if (this.tellings.size() > REMEMBERED) {
-			this.tellings.removeFirst();
+		this.recentUpdates.addLast(message);
+		if (this.recentUpdates.size() > RETAINED_UPDATES) {
+			this.recentUpdates.removeFirst();
 		}
-		sendUnlessCongested(listeners(), message);
+		sendUnlessCongested(recipients(), message);
 	}
 
 	/**
-	 * Sends to those whose connections keep up. Of work only the newest matters: to the
-	 * others it would come late, and keep a configuration waiting behind it. They get the
-	 * next telling, or the next sum of all endpoints.
+	 * Sends to the daemons whose connections are not congested. Only the latest load
+	 * matters: on a congested connection a message would arrive late and delay a
+	 * configuration queued behind it. Daemons that are left out get the next update or
+	 * the next full sum.
 	 * @param to the daemons
-	 * @param message a telling or a sum
+	 * @param message an update or a sum
 	 */
 	private void sendUnlessCongested(Collection<VmId> to, PeerMessage message) {
 		this.network.sendAll(to.stream().filter((vm) -> !this.network.congested(vm)).toList(), message);
 	}
 
-	private Collection<VmId> listeners() {
+	private Collection<VmId> recipients() {
 		if (this.routes.flat()) {
 			return this.network.connected();
 		}
@@ -176,130 +185,133 @@
 	}
 
 	/**
-	 * Whether a daemon that should be heard isn't, here or by a relay.
+	 * Whether a daemon that should send updates is unresponsive, as observed here or by a
+	 * relay.
 	 * @param vm the daemon's VM
-	 * @return true if it told something and then fell silent
+	 * @return true if its updates have stopped
 	 */
 	public boolean unheard(VmId vm) {
-		return this.silence.silent(vm);
+		return this.unresponsivePeers.isUnresponsive(vm);
 	}
 
 	/**
-	 * Sends the sums, as a relay. All daemons of the data centre get the same message,
-	 * encoded once, and take out their own part themselves: making a sum for each of 18
-	 * took 4 in 100 of a core at 172 endpoints.
+	 * Sends the sums if this daemon is a relay. All daemons of the data centre get the
+	 * same message, encoded once, and subtract their own load themselves: separate sums
+	 * for each of 18 daemons took 4 in 100 of a core at 172 endpoints.
 	 */
-	private void sum() {
+	private void sendSums() {
 		if (this.routes.flat()) {
 			return;
 		}
-		this.silence.expectOnly(this.routes.isRelay() ? otherRelays() : List.of());
+		this.unresponsivePeers.expectOnly(this.routes.isRelay() ? otherRelays() : List.of());
 		if (!this.routes.isRelay()) {
 			return;
 		}
 		long now = this.scheduler.nanos();
-		List.of(this.near, this.relays, this.far)
-			.forEach((works) -> works.values().removeIf((told) -> told.silentFor(LoadBoard.PEER_KEPT, now)));
+		List.of(this.memberLoads, this.relayLoads, this.dataCentreLoads)
+			.forEach((works) -> works.values().removeIf((load) -> load.expired(LoadBoard.PEER_EXPIRY, now)));
 		LoadSum sum = new LoadSum();
 		Map<String, Long> included = new HashMap<>();
-		this.near.forEach((vm, told) -> {
-			sum.add(told.shares(now), told.demands(), 1);
-			included.put(vm.value(), told.sequence());
+		this.memberLoads.forEach((vm, load) -> {
+			sum.accumulate(load.shares(now), load.demands(), 1);
+			included.put(vm.value(), load.sequence());
 		});
 		this.toRelays.next(sum, false, Map.of(), Set.of())
 			.ifPresent((message) -> sendUnlessCongested(this.routes.remoteRelays(), message));
-		sum.add(this.loads.shares(), this.demands.demands(), 1);
-		this.relays.values().forEach((told) -> sum.add(told.shares(now), told.demands(), 1));
-		this.far.values().forEach((told) -> sum.add(told.shares(now), told.demands(), 1));
-		this.toNear.next(sum, true, included, unheardRelays())
+		sum.accumulate(this.loads.shares(), this.demands.demands(), 1);
+		this.relayLoads.values().forEach((load) -> sum.accumulate(load.shares(now), load.demands(), 1));
+		this.dataCentreLoads.values().forEach((load) -> sum.accumulate(load.shares(now), load.demands(), 1));
+		this.toMembers.next(sum, true, included, unresponsiveRelays())
 			.ifPresent((message) -> sendUnlessCongested(this.routes.near(), message));
 	}
 
-	private Set<VmId> unheardRelays() {
-		Set<VmId> unheard = new TreeSet<>(Comparator.comparing(VmId::value));
-		otherRelays().stream().filter(this::unheard).forEach(unheard::add);
-		return unheard;
+	private Set<VmId> unresponsiveRelays() {
+		Set<VmId> unresponsive = new TreeSet<>(Comparator.comparing(VmId::value));
+		otherRelays().stream().filter(this::unheard).forEach(unresponsive::add);
+		return unresponsive;
 	}
 
 	/**
-	 * The telling of this daemon that a sum holds.
+	 * The update of this daemon that a sum includes.
 	 * @param message the sum
-	 * @return the telling, or empty if there is none or it is long past
+	 * @return the update, or empty if the sum includes none or it is no longer retained
 	 */
-	private Optional<LoadTold> ownPart(LoadSummed message) {
-		Long own = (message.included() != null) ? message.included().get(this.self.value()) : null;
-		if (own == null) {
+	private Optional<LoadTold> ownUpdate(LoadSummed message) {
+		Long ownSequence = (message.included() != null) ? message.included().get(this.self.value()) : null;
+		if (ownSequence == null) {
 			return Optional.empty();
 		}
-		return this.tellings.stream().filter((told) -> told.sequence() == own).findFirst();
+		return this.recentUpdates.stream().filter((update) -> update.sequence() == ownSequence).findFirst();
 	}
 
-	private static List<LoadTold.Share> without(Optional<LoadTold> own, List<LoadTold.Share> sum) {
+	private static List<LoadTold.Share> sharesWithout(Optional<LoadTold> own, List<LoadTold.Share> sum) {
 		if (own.isEmpty()) {
 			return sum;
 		}
-		Map<String, LoadTold.Share> mine = new HashMap<>();
-		own.get().shares().forEach((share) -> mine.put(share.endpoint(), share));
+		Map<String, LoadTold.Share> ownShares = new HashMap<>();
+		own.get().shares().forEach((share) -> ownShares.put(share.endpoint(), share));
 		List<LoadTold.Share> others = new ArrayList<>(sum.size());
 		for (LoadTold.Share share : sum) {
-			LoadTold.Share part = mine.get(share.endpoint());
-			others.add((part != null) ? share.without(part) : share);
+			LoadTold.Share part = ownShares.get(share.endpoint());
+			others.add((part != null) ? share.minus(part) : share);
 		}
 		return others;
 	}
 
 	private static List<LoadTold.Demand> demandsWithout(Optional<LoadTold> own, List<LoadTold.Demand> all) {
-		LoadSum sum = new LoadSum().add(List.of(), all, 1);
-		own.ifPresent((telling) -> sum.add(List.of(), telling.demands(), -1));
+		LoadSum sum = new LoadSum().accumulate(List.of(), all, 1);
+		own.ifPresent((update) -> sum.accumulate(List.of(), update.demands(), -1));
 		return sum.demands();
 	}
 
-	private void told(Incarnation from, LoadTold message) {
+	private void onUpdate(Incarnation from, LoadTold message) {
 		List<LoadTold.Share> shares = orEmpty(message.shares());
-		List<LoadTold.Demand> toldDemands = orEmpty(message.demands());
+		List<LoadTold.Demand> peerDemands = orEmpty(message.demands());
 		if (this.routes.flat() || this.routes.isRelay()) {
-			this.silence.heard(from.vm());
+			this.unresponsivePeers.received(from.vm());
 			boolean relay = isRelay(from.vm());
-			(relay ? this.near : this.relays).remove(from.vm());
-			(relay ? this.relays : this.near).computeIfAbsent(from.vm(), (vm) -> new ToldWork())
-				.take(true, message.sequence(), shares, toldDemands, this.scheduler.nanos());
+			(relay ? this.memberLoads : this.relayLoads).remove(from.vm());
+			(relay ? this.relayLoads : this.memberLoads).computeIfAbsent(from.vm(), (vm) -> new RemoteLoad())
+				.update(true, message.sequence(), shares, peerDemands, this.scheduler.nanos());
 			this.loads.told(from.vm().value(), shares);
-			this.demands.told(from.vm().value(), toldDemands);
+			this.demands.told(from.vm().value(), peerDemands);
 		}
 	}
 
 	/**
-	 * Whether a daemon tells all relays its own work, so that it mustn't be in the sum of
-	 * its data centre. One of another data centre tells only as a relay.
+	 * Whether a daemon sends its own updates to all relays and so must not be included in
+	 * the sum of its data centre. Daemons of other data centres send updates only as
+	 * relays.
 	 * @param vm the daemon's VM
 	 * @return true for a relay
 	 */
 	private boolean isRelay(VmId vm) {
-		boolean near = this.routes.dataCentre(vm).equals(this.routes.dataCentre(this.self));
-		return !near || this.routes.relays().contains(vm);
+		boolean sameDataCentre = this.routes.dataCentre(vm).equals(this.routes.dataCentre(this.self));
+		return !sameDataCentre || this.routes.relays().contains(vm);
 	}
 
-	private void summed(Incarnation from, LoadSummed message) {
+	private void onSum(Incarnation from, LoadSummed message) {
 		if (this.routes.flat() || message.fleet() == this.routes.isRelay()) {
-			// A relay adds up for itself; and what it adds up isn't for other daemons.
+			// Relays compute the sum over the fleet themselves, and the sums that relays
+			// exchange are for relays only.
 			return;
 		}
-		Optional<LoadTold> own = ownPart(message);
-		List<LoadTold.Share> others = without(own, orEmpty(message.shares()));
+		Optional<LoadTold> own = ownUpdate(message);
+		List<LoadTold.Share> others = sharesWithout(own, orEmpty(message.shares()));
 		List<LoadTold.Demand> otherDemands = demandsWithout(own, orEmpty(message.demands()));
 		String source = message.fleet() ? FLEET : this.routes.dataCentre(from.vm());
 		if (!message.fleet()) {
-			this.far.computeIfAbsent(source, (dataCentre) -> new ToldWork())
-				.take(message.whole(), 0, others, otherDemands, this.scheduler.nanos());
+			this.dataCentreLoads.computeIfAbsent(source, (dataCentre) -> new RemoteLoad())
+				.update(message.full(), 0, others, otherDemands, this.scheduler.nanos());
 		}
-		if (message.whole()) {
+		if (message.full()) {
 			this.loads.told(source, others);
 		}
 		else {
-			this.loads.toldMore(source, others);
+			this.loads.merge(source, others);
 		}
 		this.demands.told(source, otherDemands);
-		this.silence.relaySays((message.unheard() != null) ? message.unheard() : Set.of());
+		this.unresponsivePeers.relayReported((message.unresponsive() != null) ? message.unresponsive() : Set.of());
 	}
 
 	private static <T> List<T> orEmpty(List<T> list) {
@@ -307,36 +319,35 @@
 	}
 
 	/**
-	 * What was last sent of a sum.
+	 * The state last sent in a sum, from which the next message is derived.
 	 */
-	private static final class SumSent {
+	private static final class SumDelta {
 
 		private Map<String, LoadTold.Share> last = Map.of();
 
-		private Set<VmId> unheard = Set.of();
+		private Set<VmId> unresponsive = Set.of();
 
-		private int since = WHOLE_SUMS;
+		private int sinceFull = FULL_SUM_PERIOD;
 
 		/**
-		 * The next message.
+		 * Returns the next message.
 		 * @param sum the sum
-		 * @param fleet what {@link LoadSummed} says of it
-		 * @param included what {@link LoadSummed} says of it
-		 * @param unheard what {@link LoadSummed} says of it
-		 * @return the message, or empty if nothing has changed and it isn't time to name
-		 * all endpoints
+		 * @param fleet see {@link LoadSummed}
+		 * @param included see {@link LoadSummed}
+		 * @param unresponsive see {@link LoadSummed}
+		 * @return the message, or empty if nothing has changed and no full sum is due
 		 */
-		Optional<LoadSummed> next(LoadSum sum, boolean fleet, Map<String, Long> included, Set<VmId> unheard) {
-			Map<String, LoadTold.Share> now = new HashMap<>(sum.shares());
-			boolean whole = ++this.since >= WHOLE_SUMS || !unheard.equals(this.unheard);
-			List<LoadTold.Share> told = whole ? List.copyOf(now.values()) : changes(now);
-			this.last = now;
-			this.unheard = unheard;
-			if (whole) {
-				this.since = 0;
+		Optional<LoadSummed> next(LoadSum sum, boolean fleet, Map<String, Long> included, Set<VmId> unresponsive) {
+			Map<String, LoadTold.Share> current = new HashMap<>(sum.shares());
+			boolean full = ++this.sinceFull >= FULL_SUM_PERIOD || !unresponsive.equals(this.unresponsive);
+			List<LoadTold.Share> shares = full ? List.copyOf(current.values()) : changes(current);
+			this.last = current;
+			this.unresponsive = unresponsive;
+			if (full) {
+				this.sinceFull = 0;
 			}
-			return (whole || !told.isEmpty())
-					? Optional.of(new LoadSummed(fleet, whole, told, sum.demands(), included, unheard))
+			return (full || !shares.isEmpty())
+					? Optional.of(new LoadSummed(fleet, full, shares, sum.demands(), included, unresponsive))
 					: Optional.empty();
 		}
 
@@ -351,7 +362,7 @@
 			this.last.keySet()
 				.stream()
 				.filter((endpoint) -> !now.containsKey(endpoint))
-				.forEach((endpoint) -> changes.add(LoadTold.Share.nothing(endpoint)));
+				.forEach((endpoint) -> changes.add(LoadTold.Share.none(endpoint)));
 			return changes;
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadRoutes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadRoutes.java
@@ -5,7 +5,7 @@
 import org.bramleyscale.VmId;
 
 /**
- * Who tells whom about work.
+ * The daemons with which load is exchanged.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -13,7 +13,8 @@
 public interface LoadRoutes {
 
 	/**
-	 * Whether the fleet is small enough for all to tell all.
+	 * Whether the fleet is small enough for each daemon to send its updates to all
+	 * others.
 	 * @return true if it is
 	 */
 	boolean flat();
@@ -21,13 +22,13 @@
 	boolean isRelay();
 
 	/**
-	 * The relays of the own data centre.
-	 * @return their VMs without this daemon's own
+	 * The relays of this daemon's data centre.
+	 * @return their VMs, without this daemon's own
 	 */
 	Collection<VmId> relays();
 
 	/**
-	 * The other daemons of the own data centre.
+	 * The other daemons of this daemon's data centre.
 	 * @return their VMs
 	 */
 	Collection<VmId> near();
@@ -39,9 +40,9 @@
 	Collection<VmId> remoteRelays();
 
 	/**
-	 * Where a daemon runs.
-	 * @param vm its VM
-	 * @return the data centre's name, or an empty text if the VM isn't known
+	 * The data centre of a daemon.
+	 * @param vm the daemon's VM
+	 * @return the data centre's name, or an empty string if the VM is unknown
 	 */
 	String dataCentre(VmId vm);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadSum.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadSum.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /**
- * Adds up what daemons tell. Not safe for use by multiple threads.
+ * The sum of the load of several daemons. Not safe for use by multiple threads.
  */
 final class LoadSum {
 
@@ -14,33 +14,33 @@
 	private final Map<String, LoadTold.Demand> demands = new TreeMap<>();
 
 	/**
-	 * Adds or takes away.
-	 * @param toldShares work by endpoint
-	 * @param toldDemands demand by service
-	 * @param sign 1 to add, -1 to take away
+	 * Adds or subtracts load.
+	 * @param addedShares load by endpoint
+	 * @param addedDemands demand by service
+	 * @param sign 1 to add, -1 to subtract
 	 * @return this sum
 	 */
-	LoadSum add(List<LoadTold.Share> toldShares, List<LoadTold.Demand> toldDemands, int sign) {
-		for (LoadTold.Share told : toldShares) {
-			LoadTold.Share held = this.shares.getOrDefault(told.endpoint(), LoadTold.Share.nothing(told.endpoint()));
-			this.shares.put(told.endpoint(),
-					new LoadTold.Share(told.endpoint(), held.active() + sign * told.active(),
-							held.readMillis() + sign * told.readMillis(), held.tokens() + sign * told.tokens(),
-							Math.max(held.oldestMillis(), told.oldestMillis()), latest(held, told),
-							held.helping() + sign * told.helping(), Math.min(held.pauseMillis(), told.pauseMillis())));
+	LoadSum accumulate(List<LoadTold.Share> addedShares, List<LoadTold.Demand> addedDemands, int sign) {
+		for (LoadTold.Share added : addedShares) {
+			LoadTold.Share current = this.shares.getOrDefault(added.endpoint(), LoadTold.Share.none(added.endpoint()));
+			this.shares.put(added.endpoint(), new LoadTold.Share(added.endpoint(),
+					current.active() + sign * added.active(), current.prefillMillis() + sign * added.prefillMillis(),
+					current.tokens() + sign * added.tokens(), Math.max(current.oldestMillis(), added.oldestMillis()),
+					latestPrefill(current, added), current.helping() + sign * added.helping(),
+					Math.min(current.pauseMillis(), added.pauseMillis())));
 		}
-		for (LoadTold.Demand told : toldDemands) {
-			LoadTold.Demand held = this.demands.getOrDefault(told.service(),
-					new LoadTold.Demand(told.service(), 0, 0, 0));
-			this.demands.put(told.service(),
-					new LoadTold.Demand(told.service(), held.shortActive() + sign * told.shortActive(),
-							held.waiting() + sign * told.waiting(),
-							held.waitingMillis() + sign * told.waitingMillis()));
+		for (LoadTold.Demand added : addedDemands) {
+			LoadTold.Demand current = this.demands.getOrDefault(added.service(),
+					new LoadTold.Demand(added.service(), 0, 0, 0));
+			this.demands.put(added.service(),
+					new LoadTold.Demand(added.service(), current.shortActive() + sign * added.shortActive(),
+							current.waiting() + sign * added.waiting(),
+							current.waitingMillis() + sign * added.waitingMillis()));
 		}
 		return this;
 	}
 
-	private static int latest(LoadTold.Share left, LoadTold.Share right) {
+	private static int latestPrefill(LoadTold.Share left, LoadTold.Share right) {
 		if (left.doneMillis() < 0 || right.doneMillis() < 0) {
 			return Math.max(left.doneMillis(), right.doneMillis());
 		}
@@ -49,7 +49,7 @@
 
 	/**
 	 * The sum by endpoint.
-	 * @return the work, without endpoints that have nothing to do
+	 * @return the load, without idle endpoints
 	 */
 	Map<String, LoadTold.Share> shares() {
 		this.shares.values().removeIf(LoadTold.Share::idle);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadSummed.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadSummed.java
@@ -8,18 +8,19 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * The work of many daemons, as a relay adds it up.
+ * The load of several daemons, summed by a relay.
  *
- * @param fleet true for that of all daemons, false for that of the relay's data centre
- * @param whole whether all endpoints with work are named; otherwise only those at which
- * something began or ended since the last sum
- * @param shares the work by endpoint
+ * @param fleet true for the sum over all daemons, false for that over the relay's data
+ * centre
+ * @param full whether all endpoints with load are listed; otherwise only those whose load
+ * has changed since the last sum
+ * @param shares the load by endpoint
  * @param demands the demand by service
- * @param included which telling of each daemon of the relay's data centre is in the sum,
- * so that a daemon can take out its own
- * @param unheard other relays that the relay doesn't hear; others hear of their end from
- * membership only, seconds later
+ * @param included the sequence number of the update of each daemon of the relay's data
+ * centre that the sum includes, so that a daemon can subtract its own load
+ * @param unresponsive other relays from which the relay gets no updates; without this,
+ * daemons would learn of their failure only from membership, seconds later
  */
-public record LoadSummed(boolean fleet, boolean whole, List<LoadTold.Share> shares, List<LoadTold.Demand> demands,
-		Map<String, Long> included, Set<VmId> unheard) implements PeerMessage {
+public record LoadSummed(boolean fleet, boolean full, List<LoadTold.Share> shares, List<LoadTold.Demand> demands,
+		Map<String, Long> included, Set<VmId> unresponsive) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What each endpoint has to do, summed over all daemons.
+ * Tracks the load of each endpoint over all daemons.
  */
 package org.bramleyscale.internal.gateway.load;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/Candidate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/Candidate.java
@@ -5,75 +5,78 @@
 import org.bramleyscale.internal.gateway.load.EndpointLoad;
 
 /**
- * An engine that may take a request, with what speaks for and against it.
+ * An engine that may take a request, with the inputs of its score.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
  *
  * @param backend the engine
- * @param load what it has to do
- * @param longLane whether long prompts go there
- * @param avoided whether it failed lately
- * @param rests whether it wants nothing from this daemon
- * @param open whether it may get a request from this daemon now
- * @param extra what failures add to its score, ms
- * @param profile how it works
+ * @param load its current load
+ * @param longLane whether it belongs to the lane for long prompts
+ * @param avoided whether it failed recently and is used only as a last resort
+ * @param backingOff whether it asked this daemon to send nothing for now
+ * @param available whether this daemon may send it a request now
+ * @param penaltyMillis what recent failures add to its score, ms
+ * @param profile its performance profile
  */
-record Candidate(Backend backend, EndpointLoad load, boolean longLane, boolean avoided, boolean rests, boolean open,
-		double extra, EngineProfile profile) {
+record Candidate(Backend backend, EndpointLoad load, boolean longLane, boolean avoided, boolean backingOff,
+		boolean available, double penaltyMillis, EngineProfile profile) {
 
 	/**
-	 * Part of an engine's memory that is promised. An answer may grow beyond what was
-	 * declared, and an engine without memory stops its newest request.
+	 * The share of an engine's memory that may be committed. An answer may exceed its
+	 * declared length, and an engine that runs out of memory stops its newest request.
 	 */
-	static final double USED_MEMORY = 0.92;
+	static final double MAX_MEMORY_SHARE = 0.92;
 
-	/** What each request under way adds to an engine's score, ms: it takes a slot. */
-	private static final double ACTIVE_MILLIS = 12;
+	/** What each active request adds to an engine's score, ms, since it takes a slot. */
+	private static final double ACTIVE_REQUEST_PENALTY_MILLIS = 12;
 
 	/**
-	 * Requests that daemons may have an engine help with at the same moment, before they
-	 * learn of each other's. An engine refuses to help more requests than it has slots,
-	 * and with that the target refuses the whole request.
+	 * Helper requests that other daemons may have started on an engine and not yet
+	 * reported. An engine refuses to help with more requests than it has slots, and its
+	 * refusal makes the target refuse the whole request.
 	 */
-	private static final int HELP_UNTOLD = 2;
+	private static final int UNREPORTED_HELP_RESERVE = 2;
 
-	private static final double AVOIDED_MILLIS = 100_000;
+	private static final double AVOIDED_PENALTY_MILLIS = 100_000;
 
-	private static final double OTHER_LANE_MILLIS = 1_000;
+	private static final double LONG_LANE_PENALTY_MILLIS = 1_000;
 
-	private static final double FULL_MILLIS = 4_000;
+	private static final double FULL_PENALTY_MILLIS = 4_000;
 
 	/**
-	 * How late this engine begins to read, and what else speaks against it.
-	 * @return the score, ms; the least is the best
+	 * The expected delay before this engine starts to prefill the prompt, plus penalties.
+	 * @return the score, ms; lower is better
 	 */
-	double readScore() {
-		return this.load.readMillis() + this.extra + (this.avoided ? AVOIDED_MILLIS : 0);
+	double prefillScore() {
+		return this.load.readMillis() + this.penaltyMillis + (this.avoided ? AVOIDED_PENALTY_MILLIS : 0);
 	}
 
 	/**
-	 * How well this engine suits a request that pauses of other requests would hurt.
-	 * @return the score, ms; the least is the best
+	 * How well this engine suits a request that is sensitive to pauses caused by other
+	 * requests.
+	 * @return the score, ms; lower is better
 	 */
 	double shortScore() {
-		double score = readScore() + ACTIVE_MILLIS * this.load.active();
+		double score = prefillScore() + ACTIVE_REQUEST_PENALTY_MILLIS * this.load.active();
 		if (this.longLane) {
-			score += OTHER_LANE_MILLIS;
+			score += LONG_LANE_PENALTY_MILLIS;
 		}
-		return full() ? score + FULL_MILLIS : score;
+		return full() ? score + FULL_PENALTY_MILLIS : score;
 	}
 
 	/**
-	 * What may still be read there so that its streams keep to their pauses.
-	 * @param pauseShare the part of a pause that a pass may take
-	 * @param freeMillis what it may have before it if no stream minds a pause, ms; an
-	 * idle engine may read any length
-	 * @return ms of reading; negative if a stream there pauses too long already
+	 * The prefill work that this engine can take without exceeding the permitted pauses
+	 * of its streams.
+	 * @param pauseShare the share of a pause that a pass may take
+	 * @param idleBacklogMillis the largest prefill backlog, ms, at which an engine still takes
+	 * work if none of its streams limits its pauses; an engine without a backlog takes a
+	 * prompt of any length
+	 * @return ms of prefill; negative if a stream there already pauses for too long
 	 */
-	double roomMillis(double pauseShare, double freeMillis) {
+	double prefillHeadroomMillis(double pauseShare, double idleBacklogMillis) {
 		if (this.load.pauseMillis() == EndpointLoad.ANY_PAUSE) {
-			return (this.load.readMillis() > 0) ? freeMillis - this.load.readMillis() : Double.MAX_VALUE;
+			return (this.load.readMillis() > 0) ? idleBacklogMillis - this.load.readMillis() : Double.MAX_VALUE;
 		}
 		double pass = this.profile.passMillis(this.load.active(), this.load.tokens());
 		return pauseShare * (this.load.pauseMillis() - pass) - this.load.readMillis();
@@ -84,19 +87,20 @@
 	}
 
 	/**
-	 * Whether it would help to read another prompt.
-	 * @return false if it rests, or helps almost as many as it may
+	 * Whether it can help to prefill another prompt.
+	 * @return false if it is backing off, or is close to the number of requests that it
+	 * may help with
 	 */
-	boolean mayHelp() {
-		return !this.rests && this.load.helping() + HELP_UNTOLD < this.profile.slots();
+	boolean canHelp() {
+		return !this.backingOff && this.load.helping() + UNREPORTED_HELP_RESERVE < this.profile.slots();
 	}
 
 	/**
-	 * How much more its memory may be promised.
-	 * @return the tokens of context, possibly negative
+	 * The memory that can still be committed.
+	 * @return the KV-cache tokens, possibly negative
 	 */
 	long freeTokens() {
-		return (long) (USED_MEMORY * this.profile.memoryTokens()) - this.load.tokens();
+		return (long) (MAX_MEMORY_SHARE * this.profile.memoryTokens()) - this.load.tokens();
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/EnginePlacement.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/EnginePlacement.java
@@ -20,30 +20,33 @@
 import org.bramleyscale.internal.gateway.load.LoadBoard;
 
 /**
- * Sends short prompts to the engine that reads them first, has longer ones read by
- * several engines at once, and keeps those whose parts would still be long apart from the
+ * Sends short prompts to the engine that can prefill them first, splits longer ones over
+ * several engines, and keeps prompts whose parts would still be long apart from the
  * others.
  *
  * <p>
- * Invariants: an engine gets no prompt that its memory can't hold beside what it has; a
- * request whose first event is predicted after its caller has left is refused at once.
- * Confined to the scheduler's thread.
+ * Invariants: an engine gets no prompt that does not fit into its memory beside its
+ * current requests; a request whose first event is predicted after its caller's deadline
+ * is refused at once. Confined to the scheduler's thread.
  */
 public final class EnginePlacement implements PlacementPolicy {
 
-	/** The protocol's bound on engines that help to read is 16; the target reads too. */
+	/** The protocol allows at most 16 helper engines; the target engine prefills too. */
 	public static final int MOST_READERS = 17;
 
-	/** What a recent failure adds to an engine's score, ms. */
-	private static final double FAILURE_MILLIS = 150;
+	/** What each recent failure adds to an engine's score, ms. */
+	private static final double FAILURE_PENALTY_MILLIS = 150;
 
-	/** Requests that wait at a full engine, as a part of its slots. */
-	private static final double MOST_WAITING = 0.5;
+	/** Requests that may queue at a full engine, as a share of its slots. */
+	private static final double MAX_QUEUED_SHARE = 0.5;
 
-	/** When slots or memory are taken: about a third of an answer's time. */
-	private static final Duration FULL_PAUSE = Duration.ofMillis(700);
+	/**
+	 * Retry delay when slots or memory are exhausted: about a third of the time of an
+	 * answer.
+	 */
+	private static final Duration FULL_RETRY_DELAY = Duration.ofMillis(700);
 
-	private static final Duration LONGEST_PAUSE = Duration.ofSeconds(2);
+	private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(2);
 
 	private static final double NANOS_PER_MILLI = 1_000_000;
 
@@ -65,12 +68,12 @@
 	}
 
 	/**
-	 * Makes a policy for experiments.
+	 * Creates a policy with explicit thresholds, for experiments.
 	 * @param backends the endpoints
-	 * @param health which of them failed lately
-	 * @param loads what they have to do
-	 * @param demands what is asked for
-	 * @param random spreads choices
+	 * @param health the recent failures of endpoints
+	 * @param loads the load of endpoints
+	 * @param demands the demand by service
+	 * @param random source of randomness that spreads choices over engines
 	 * @param tuning the thresholds
 	 */
 	public EnginePlacement(BackendTable backends, BackendHealth health, LoadBoard loads, DemandBoard demands,
@@ -84,36 +87,37 @@
 	}
 
 	/**
-	 * Whether a prompt counts as long: its parts are long however many engines read it.
-	 * @param service the service, which has engines
-	 * @param promptTokens the prompt's length
-	 * @return true if it is kept apart from short ones
+	 * Whether a prompt counts as long: its parts are long however many engines share it.
+	 * @param service the service, which must have engines
+	 * @param promptTokens the length of the prompt
+	 * @return true if it is kept apart from short prompts
 	 */
 	public static boolean isLong(Service service, long promptTokens) {
 		EngineProfile profile = service.engine().orElseThrow();
 		return profile.readMillis(promptTokens) > MOST_READERS
-				* longestWhole(service, profile, PlacementTuning.DEFAULT);
+				* singleEngineMillis(service, profile, PlacementTuning.DEFAULT);
 	}
 
 	/**
-	 * What one engine reads of a prompt by itself among short answers.
+	 * The longest prefill that a single engine does for one prompt alongside short
+	 * answers.
 	 * @param service the service
-	 * @param profile its engines
+	 * @param profile the profile of its engines
 	 * @param tuning the thresholds
-	 * @return ms of reading
+	 * @return ms of prefill
 	 */
-	private static double longestWhole(Service service, EngineProfile profile, PlacementTuning tuning) {
-		return tuning.wholeShare() * readingPause(service, profile);
+	private static double singleEngineMillis(Service service, EngineProfile profile, PlacementTuning tuning) {
+		return tuning.wholeShare() * prefillAllowanceMillis(service, profile);
 	}
 
 	/**
-	 * The time that the strictest pause leaves for reading in a pass of a half full
-	 * engine, or one chunk if it leaves less.
+	 * The time for prefill that the strictest permitted pause leaves in a pass of a
+	 * half-full engine, but at least the time of one chunk.
 	 * @param service the service
-	 * @param profile its engines
+	 * @param profile the profile of its engines
 	 * @return ms
 	 */
-	private static double readingPause(Service service, EngineProfile profile) {
+	private static double prefillAllowanceMillis(Service service, EngineProfile profile) {
 		double pass = profile.passMillis(profile.slots() / 2, 0);
 		double chunk = profile.readMillis(profile.chunk());
 		return Math.max(chunk, service.aims().strictestPause().toMillis() - pass);
@@ -122,177 +126,183 @@
 	@Override
 	public Placement place(PlacementRequest request) {
 		EngineProfile profile = request.service().engine().orElseThrow();
-		double read = profile.readMillis(request.promptTokens());
+		double promptMillis = profile.readMillis(request.promptTokens());
 		List<Candidate> candidates = candidates(request, profile);
-		if (candidates.stream().noneMatch(Candidate::open)) {
+		if (candidates.stream().noneMatch(Candidate::available)) {
 			return PlainPlacement.refused(this.backends.usable(request.service().name()), request, this.health);
 		}
 		List<Candidate> shortLane = candidates.stream()
 			.filter((candidate) -> !candidate.longLane() && !candidate.avoided())
 			.toList();
-		double shortPart = read / Math.max(1, Math.min(MOST_READERS, shortLane.size()));
-		double whole = longestWhole(request.service(), profile, this.tuning);
-		boolean large = needed(request) > Candidate.USED_MEMORY * profile.memoryTokens();
-		if (large || shortPart > whole) {
-			return checked(request, placeLong(request, candidates, read));
+		double shortLanePart = promptMillis / Math.max(1, Math.min(MOST_READERS, shortLane.size()));
+		double singleEngineLimit = singleEngineMillis(request.service(), profile, this.tuning);
+		boolean exceedsMemory = neededTokens(request) > Candidate.MAX_MEMORY_SHARE * profile.memoryTokens();
+		if (exceedsMemory || shortLanePart > singleEngineLimit) {
+			return refusedIfLate(request, placeLong(request, candidates, promptMillis));
 		}
-		int readers = 1;
-		if (read > whole) {
-			double part = this.tuning.partShare() * readingPause(request.service(), profile);
-			readers = Math.min(MOST_READERS, (int) Math.ceil(read / part));
+		int engineCount = 1;
+		if (promptMillis > singleEngineLimit) {
+			double part = this.tuning.partShare() * prefillAllowanceMillis(request.service(), profile);
+			engineCount = Math.min(MOST_READERS, (int) Math.ceil(promptMillis / part));
 		}
-		return checked(request, placeShort(request, candidates, shortLane, read, readers));
+		return refusedIfLate(request, placeShort(request, candidates, shortLane, promptMillis, engineCount));
 	}
 
 	private Placement placeShort(PlacementRequest request, List<Candidate> candidates, List<Candidate> shortLane,
-			double read, int readers) {
-		Candidate target = few(request, shortLane, candidates).stream()
-			.filter((candidate) -> candidate.open() && candidate.freeTokens() >= needed(request))
+			double promptMillis, int engineCount) {
+		Candidate target = sample(request, shortLane, candidates).stream()
+			.filter((candidate) -> candidate.available() && candidate.freeTokens() >= neededTokens(request))
 			.min(Comparator.comparingDouble(Candidate::shortScore))
 			.orElse(null);
 		if (target == null) {
-			return Placement.refused("no memory free", FULL_PAUSE);
+			return Placement.refused("no memory free", FULL_RETRY_DELAY);
 		}
-		int over = target.load().active() - target.profile().slots();
-		if (over >= MOST_WAITING * target.profile().slots()) {
-			return Placement.refused("all slots taken", FULL_PAUSE);
+		int excess = target.load().active() - target.profile().slots();
+		if (excess >= MAX_QUEUED_SHARE * target.profile().slots()) {
+			return Placement.refused("all slots taken", FULL_RETRY_DELAY);
 		}
 		List<Backend> helpers = shortLane.stream()
-			.filter((candidate) -> candidate != target && candidate.mayHelp())
-			.sorted(Comparator.comparingDouble(Candidate::readScore))
-			.limit(readers - 1L)
+			.filter((candidate) -> candidate != target && candidate.canHelp())
+			.sorted(Comparator.comparingDouble(Candidate::prefillScore))
+			.limit(engineCount - 1L)
 			.map(Candidate::backend)
 			.toList();
-		double part = read / (helpers.size() + 1);
-		double first = slotWait(request, target) + target.load().readMillis() + part + pass(target);
-		return Placement.at(target.backend(), helpers, part, first, target.longLane() ? "short, spilt" : "short");
+		double part = promptMillis / (helpers.size() + 1);
+		double firstEvent = slotWait(request, target) + target.load().readMillis() + part + passMillis(target);
+		return Placement.at(target.backend(), helpers, part, firstEvent, target.longLane() ? "short, spilt" : "short");
 	}
 
 	/**
-	 * The engines that read a long prompt now, or none if it should wait here.
+	 * The engines that prefill a long prompt now.
 	 * @param request the request
-	 * @param lane the engines that may read it
-	 * @param read its reading, ms
-	 * @return the readers
+	 * @param lane the engines that may prefill it
+	 * @param promptMillis its prefill time on one engine, ms
+	 * @return the engines, or an empty list if the prompt should wait at this daemon
 	 */
-	private List<Candidate> readers(PlacementRequest request, List<Candidate> lane, double read) {
+	private List<Candidate> prefillEngines(PlacementRequest request, List<Candidate> lane, double promptMillis) {
 		if (!this.tuning.budgets()) {
 			return lane;
 		}
-		double part = read / Math.min(MOST_READERS, lane.size());
+		double part = promptMillis / Math.min(MOST_READERS, lane.size());
 		double target = request.route().targetLatency().toMillis();
-		double late = Math.max(this.tuning.lateShare() * target, this.tuning.laterThanBest() * part);
-		double latest = Math.max(target - millis(request.waited()), late);
-		double free = this.tuning.freeShare() * request.service().aims().slowestTarget().toMillis();
-		return new ReaderChoice(this.tuning.pauseShare(), free).among(lane, read, needed(request), latest);
+		double overdueLimit = Math.max(this.tuning.overdueShare() * target, this.tuning.laterThanBest() * part);
+		double latest = Math.max(target - millis(request.waited()), overdueLimit);
+		double idleBacklog = this.tuning.freeShare() * request.service().aims().slowestTarget().toMillis();
+		return new PrefillEngineSelector(this.tuning.pauseShare(), idleBacklog).select(lane, promptMillis,
+				neededTokens(request), latest);
 	}
 
 	/**
-	 * A prompt that waits here, with its first event as it would be once the lane has
-	 * read what is before it.
+	 * A placement that keeps a prompt waiting at this daemon. Its first event is
+	 * predicted for when the lane has finished the prompts ahead of it.
 	 * @param request the request
-	 * @param lane the engines that may read it
-	 * @param read its reading, ms
+	 * @param lane the engines that may prefill it
+	 * @param promptMillis its prefill time on one engine, ms
 	 * @return the placement
 	 */
-	private Placement later(PlacementRequest request, List<Candidate> lane, double read) {
-		double unread = lane.stream().mapToDouble((candidate) -> candidate.load().readMillis()).average().orElse(0);
-		double ahead = this.demands.waitingAhead(request.service().name(), read);
-		long memory = lane.stream().mapToLong(Candidate::freeTokens).filter((tokens) -> tokens > 0).sum();
-		return Placement.later(unread + ahead / lane.size() + read / Math.min(MOST_READERS, lane.size()),
-				(memory < needed(request)) ? "long, no memory free" : "long, waits");
+	private Placement deferred(PlacementRequest request, List<Candidate> lane, double promptMillis) {
+		double backlog = lane.stream().mapToDouble((candidate) -> candidate.load().readMillis()).average().orElse(0);
+		double ahead = this.demands.waitingAhead(request.service().name(), promptMillis);
+		long freeMemory = lane.stream().mapToLong(Candidate::freeTokens).filter((tokens) -> tokens > 0).sum();
+		return Placement.later(backlog + ahead / lane.size() + promptMillis / Math.min(MOST_READERS, lane.size()),
+				(freeMemory < neededTokens(request)) ? "long, no memory free" : "long, waits");
 	}
 
 	/**
-	 * The engines among which a short prompt's is chosen: a few of its lane by chance, or
-	 * all if none of its lane has a slot and memory.
+	 * The engines from which the target of a short prompt is chosen: a random sample of
+	 * its lane, or all engines if no engine of its lane has a free slot and enough
+	 * memory.
 	 * @param request the request
 	 * @param shortLane its lane
 	 * @param candidates all engines
-	 * @return some of them
+	 * @return the sample
 	 */
-	private List<Candidate> few(PlacementRequest request, List<Candidate> shortLane, List<Candidate> candidates) {
-		List<Candidate> open = new ArrayList<>(shortLane.stream()
-			.filter((candidate) -> candidate.open() && !candidate.full() && candidate.freeTokens() >= needed(request))
+	private List<Candidate> sample(PlacementRequest request, List<Candidate> shortLane, List<Candidate> candidates) {
+		List<Candidate> available = new ArrayList<>(shortLane.stream()
+			.filter((candidate) -> candidate.available() && !candidate.full()
+					&& candidate.freeTokens() >= neededTokens(request))
 			.toList());
-		if (open.isEmpty()) {
+		if (available.isEmpty()) {
 			return candidates;
 		}
-		List<Candidate> few = new ArrayList<>();
-		while (few.size() < this.tuning.choices() && !open.isEmpty()) {
-			few.add(open.remove(this.random.nextInt(open.size())));
+		List<Candidate> sample = new ArrayList<>();
+		while (sample.size() < this.tuning.choices() && !available.isEmpty()) {
+			sample.add(available.remove(this.random.nextInt(available.size())));
 		}
-		return few;
+		return sample;
 	}
 
 	/**
-	 * Places a long prompt. While its lane lacks a slot or memory it waits here, as long
-	 * as it can still be read before its caller leaves: callers come back only once, and
-	 * memory is free again when one answer has been written.
+	 * Places a long prompt. While its lane lacks a slot or memory, the prompt waits at
+	 * this daemon as long as its prefill can still finish before the caller's deadline:
+	 * callers retry only once, and memory becomes free as soon as one answer completes.
 	 * @param request the request
 	 * @param candidates all engines
-	 * @param read its reading, ms
+	 * @param promptMillis its prefill time on one engine, ms
 	 * @return the placement
 	 */
-	private Placement placeLong(PlacementRequest request, List<Candidate> candidates, double read) {
+	private Placement placeLong(PlacementRequest request, List<Candidate> candidates, double promptMillis) {
 		List<Candidate> lane = candidates.stream()
-			.filter((candidate) -> candidate.longLane() && !candidate.avoided() && candidate.mayHelp())
+			.filter((candidate) -> candidate.longLane() && !candidate.avoided() && candidate.canHelp())
 			.toList();
 		if (lane.isEmpty()) {
 			lane = candidates;
 		}
-		List<Candidate> readers = new ArrayList<>(readers(request, lane, read));
-		if (readers.isEmpty()) {
-			return later(request, lane, read);
+		List<Candidate> engines = new ArrayList<>(prefillEngines(request, lane, promptMillis));
+		if (engines.isEmpty()) {
+			return deferred(request, lane, promptMillis);
 		}
-		double smallest = read / Math.min(MOST_READERS, readers.size());
-		readers.sort(Comparator.comparingDouble(Candidate::readScore));
-		Candidate target = roomiest(readers);
+		double smallestPart = promptMillis / Math.min(MOST_READERS, engines.size());
+		engines.sort(Comparator.comparingDouble(Candidate::prefillScore));
+		Candidate target = mostFreeMemory(engines);
 		if (target == null) {
-			target = roomiest(lane);
+			target = mostFreeMemory(lane);
 		}
-		double least = FULL_PAUSE.toMillis() + smallest;
+		double minFirstEvent = FULL_RETRY_DELAY.toMillis() + smallestPart;
 		if (target == null) {
-			return Placement.later(least, "long, all slots taken");
+			return Placement.later(minFirstEvent, "long, all slots taken");
 		}
 		Candidate chosen = target;
-		readers.removeIf((candidate) -> candidate == chosen || !candidate.mayHelp());
-		List<MemoryHold> holds = holds(needed(request) - target.freeTokens(), readers);
+		engines.removeIf((candidate) -> candidate == chosen || !candidate.canHelp());
+		List<MemoryHold> holds = holds(neededTokens(request) - target.freeTokens(), engines);
 		if (holds == null) {
-			return Placement.later(least, "long, no memory free");
+			return Placement.later(minFirstEvent, "long, no memory free");
 		}
-		List<Backend> helpers = helpers(readers, holds);
-		double part = read / (helpers.size() + 1);
-		double busiest = readers.stream()
+		List<Backend> helpers = helpers(engines, holds);
+		double part = promptMillis / (helpers.size() + 1);
+		double maxBacklog = engines.stream()
 			.filter((candidate) -> helpers.contains(candidate.backend()))
 			.mapToDouble((candidate) -> candidate.load().readMillis())
 			.reduce(target.load().readMillis(), Math::max);
-		return Placement.at(target.backend(), helpers, part, busiest + part + pass(target), "long").holding(holds);
+		return Placement.at(target.backend(), helpers, part, maxBacklog + part + passMillis(target), "long")
+			.holding(holds);
 	}
 
 	/**
-	 * The engine with most free memory among those that may get a request.
+	 * The engine with the most free memory among those that are available and have a free
+	 * slot.
 	 * @param candidates the engines
-	 * @return the engine, or null if all slots are taken
+	 * @return the engine, or null if there is none
 	 */
-	private static Candidate roomiest(List<Candidate> candidates) {
+	private static Candidate mostFreeMemory(List<Candidate> candidates) {
 		return candidates.stream()
-			.filter((candidate) -> candidate.open() && !candidate.full())
+			.filter((candidate) -> candidate.available() && !candidate.full())
 			.max(Comparator.comparingLong(Candidate::freeTokens))
 			.orElse(null);
 	}
 
 	/**
-	 * The engines that help to read, those that hold memory first. As many as there are:
-	 * an engine reads several small parts in one pass, so more readers mean smaller parts
-	 * and don't make anybody wait.
-	 * @param readers the engines beside the target, those with the least to read first
-	 * @param holds memory held on some of them
+	 * The helper engines, those with a memory hold first. All available engines help, up
+	 * to the limit: an engine processes several small parts in one pass, so more helpers
+	 * make the parts smaller and delay no other request.
+	 * @param engines the engines other than the target, those with the lowest prefill
+	 * score first
+	 * @param holds the memory held on some of them
 	 * @return the engines
 	 */
-	private static List<Backend> helpers(List<Candidate> readers, List<MemoryHold> holds) {
+	private static List<Backend> helpers(List<Candidate> engines, List<MemoryHold> holds) {
 		List<Backend> helpers = new ArrayList<>(holds.stream().map(MemoryHold::engine).toList());
-		for (Candidate candidate : readers) {
+		for (Candidate candidate : engines) {
 			if (helpers.size() < MOST_READERS - 1 && !helpers.contains(candidate.backend())) {
 				helpers.add(candidate.backend());
 			}
@@ -301,37 +311,40 @@
 	}
 
 	/**
-	 * The memory to hold on other engines for what the target's own can't take.
-	 * @param tokens what it can't take, possibly nothing
-	 * @param readers the other engines
-	 * @return the holds on as few engines as possible, or null if all of them have too
-	 * little
+	 * The memory to hold on other engines for the part that exceeds the target's free
+	 * memory.
+	 * @param tokens the KV-cache tokens that don't fit on the target; zero or less if all
+	 * fit
+	 * @param engines the other engines
+	 * @return holds on as few engines as possible, or null if their free memory does not
+	 * suffice
 	 */
-	private static List<MemoryHold> holds(long tokens, List<Candidate> readers) {
+	private static List<MemoryHold> holds(long tokens, List<Candidate> engines) {
 		List<MemoryHold> holds = new ArrayList<>();
-		long rest = tokens;
-		List<Candidate> byMemory = new ArrayList<>(readers);
+		long remaining = tokens;
+		List<Candidate> byMemory = new ArrayList<>(engines);
 		byMemory.sort(Comparator.comparingLong(Candidate::freeTokens).reversed());
 		for (Candidate candidate : byMemory) {
-			if (rest > 0 && candidate.open() && candidate.freeTokens() > 0 && holds.size() < MOST_READERS - 1) {
-				long part = Math.min(rest, candidate.freeTokens());
+			if (remaining > 0 && candidate.available() && candidate.freeTokens() > 0
+					&& holds.size() < MOST_READERS - 1) {
+				long part = Math.min(remaining, candidate.freeTokens());
 				holds.add(new MemoryHold(candidate.backend(), part));
-				rest -= part;
+				remaining -= part;
 			}
 		}
-		return (rest > 0) ? null : holds;
+		return (remaining > 0) ? null : holds;
 	}
 
 	private static double slotWait(PlacementRequest request, Candidate target) {
-		int over = target.load().active() - target.profile().slots();
-		if (over < 0) {
+		int excess = target.load().active() - target.profile().slots();
+		if (excess < 0) {
 			return 0;
 		}
 		int slots = target.profile().slots();
-		return (over + 1.0) / slots * target.profile().writeMillis(Math.max(1, request.outputTokens()), slots);
+		return (excess + 1.0) / slots * target.profile().writeMillis(Math.max(1, request.outputTokens()), slots);
 	}
 
-	private static double pass(Candidate target) {
+	private static double passMillis(Candidate target) {
 		return target.profile().passMillis(target.load().active(), target.load().tokens());
 	}
 
@@ -339,36 +352,37 @@
 		return duration.toNanos() / NANOS_PER_MILLI;
 	}
 
-	private static long needed(PlacementRequest request) {
+	private static long neededTokens(PlacementRequest request) {
 		return request.promptTokens() + request.outputTokens();
 	}
 
-	private static Placement checked(PlacementRequest request, Placement placement) {
-		double left = millis(request.left());
-		double late = placement.firstMillis() - left;
+	private static Placement refusedIfLate(PlacementRequest request, Placement placement) {
+		double timeLeft = millis(request.left());
+		double late = placement.firstMillis() - timeLeft;
 		if ((placement.target().isEmpty() && !placement.waits()) || late <= 0) {
 			return placement;
 		}
-		Duration pause = Duration.ofMillis(Math.min(LONGEST_PAUSE.toMillis(), Math.round(late) + 100));
-		return Placement.refused("first event predicted in " + Math.round(placement.firstMillis()) + " ms", pause);
+		Duration retryDelay = Duration.ofMillis(Math.min(MAX_RETRY_DELAY.toMillis(), Math.round(late) + 100));
+		return Placement.refused("first event predicted in " + Math.round(placement.firstMillis()) + " ms", retryDelay);
 	}
 
 	/**
-	 * The engines of a request's service. Those that name a limit or rest are in no lane:
-	 * a lane is sized by the work that its engines can take.
+	 * The engines of a request's service that it has not been sent to yet. Engines with a
+	 * rate limit or in backoff belong to no lane, since a lane's size is derived from the
+	 * work that its engines can take.
 	 * @param request the request
-	 * @param profile how they work
-	 * @return all that weren't asked yet
+	 * @param profile the profile of the engines
+	 * @return the candidates
 	 */
 	private List<Candidate> candidates(PlacementRequest request, EngineProfile profile) {
 		List<Backend> usable = this.backends.usable(request.service().name());
 		EndpointLimits limits = request.limits();
 		Set<EndpointStart> inLanes = usable.stream()
 			.map(Backend::start)
-			.filter((endpoint) -> !limits.limited(endpoint) && !rests(endpoint))
+			.filter((endpoint) -> !limits.limited(endpoint) && !backingOff(endpoint))
 			.collect(Collectors.toSet());
 		LanePlan plan = LanePlan.of(inLanes.size(), profile.slots(), this.demands.shortActive(request.service().name()),
-				this.tuning.shortFull(), this.tuning.shortRoomy());
+				this.tuning.shortLaneFill(), this.tuning.shortRoomy());
 		List<Candidate> candidates = new ArrayList<>();
 		int position = 0;
 		for (Backend backend : usable) {
@@ -377,16 +391,16 @@
 			boolean longLane = inLane && this.tuning.lanes() && plan.isLong(position);
 			position += inLane ? 1 : 0;
 			if (!request.tried().contains(endpoint)) {
-				double extra = FAILURE_MILLIS * this.health.failures(endpoint);
-				boolean rests = rests(endpoint);
+				double penalty = FAILURE_PENALTY_MILLIS * this.health.failures(endpoint);
+				boolean backingOff = backingOff(endpoint);
 				candidates.add(new Candidate(backend, this.loads.load(endpoint), longLane, this.health.avoid(endpoint),
-						rests, !rests && limits.open(endpoint), extra, profile));
+						backingOff, !backingOff && limits.open(endpoint), penalty, profile));
 			}
 		}
 		return candidates;
 	}
 
-	private boolean rests(EndpointStart endpoint) {
+	private boolean backingOff(EndpointStart endpoint) {
 		return !this.health.restLeft(endpoint).isZero();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacedWork.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacedWork.java
@@ -9,61 +9,62 @@
 import org.bramleyscale.internal.gateway.load.LoadBoard;
 
 /**
- * One placed request on the load board: its work at the target and at each helper.
+ * The load of one placed request: its work at the target and at each helper.
  *
  * <p>
- * Invariant: after {@link #end()} nothing of it is left on the board. Confined to the
- * board's thread.
+ * Invariant: after {@link #end()} the load board has no work of this request. Confined to
+ * the load board's thread.
  */
 public final class PlacedWork {
 
-	private final List<LoadBoard.Work> works = new ArrayList<>();
+	private final List<LoadBoard.Work> parts = new ArrayList<>();
 
 	private PlacedWork() {
 	}
 
 	/**
-	 * Notes a request that is sent as placed.
-	 * @param loads the board
-	 * @param placement where it goes; must have a target
-	 * @param route its route
-	 * @param tokens the context that it needs on all engines together
-	 * @return the work, to be told when its prompt is read and when it ends
+	 * Records a request as sent according to its placement.
+	 * @param loads the load board
+	 * @param placement the placement; must have a target
+	 * @param route the request's route
+	 * @param tokens the KV-cache tokens that it needs on all engines together
+	 * @return the work, on which the caller reports the end of the prefill and of the
+	 * request
 	 */
 	public static PlacedWork begin(LoadBoard loads, Placement placement, Route route, long tokens) {
 		PlacedWork work = new PlacedWork();
-		work.works.add(loads.begin(placement.target().orElseThrow().start(), placement.readMillis(),
-				Math.max(0, tokens - placement.held()), true, pauseMillis(route)));
+		work.parts.add(loads.begin(placement.target().orElseThrow().start(), placement.readMillis(),
+				Math.max(0, tokens - placement.heldTokens()), true, pauseMillis(route)));
 		for (Backend helper : placement.helpers()) {
-			work.works.add(loads.begin(helper.start(), placement.readMillis(), placement.heldAt(helper), false,
+			work.parts.add(loads.begin(helper.start(), placement.readMillis(), placement.heldAt(helper), false,
 					EndpointLoad.ANY_PAUSE));
 		}
 		return work;
 	}
 
 	/**
-	 * Tells that the prompt has been read.
+	 * Records that the prefill of the prompt has completed.
 	 */
 	public void read() {
-		this.works.forEach(LoadBoard.Work::read);
+		this.parts.forEach(LoadBoard.Work::prefillDone);
 	}
 
 	/**
-	 * Tells that the request has ended; calling again has no effect.
+	 * Records that the request has ended; has no effect when called again.
 	 */
 	public void end() {
-		this.works.forEach(LoadBoard.Work::end);
+		this.parts.forEach(LoadBoard.Work::end);
 	}
 
 	/**
-	 * The pause that callers of a route bear between events.
+	 * The longest pause between events that a route permits.
 	 * @param route the route
-	 * @return ms; one that says nothing bears any, and not none, or engines that write
-	 * for it would never have room for a long prompt
+	 * @return ms; a route without a limit permits any pause, since a limit of zero would
+	 * leave its engines no time to prefill long prompts
 	 */
 	private static int pauseMillis(Route route) {
-		boolean said = route.streaming() && !route.longestPause().isZero();
-		return said ? (int) route.longestPause().toMillis() : EndpointLoad.ANY_PAUSE;
+		boolean limited = route.streaming() && !route.longestPause().isZero();
+		return limited ? (int) route.longestPause().toMillis() : EndpointLoad.ANY_PAUSE;
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/Placement.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/Placement.java
@@ -8,38 +8,37 @@
 import org.bramleyscale.internal.gateway.hold.MemoryHold;
 
 /**
- * Where a request goes, or why it goes nowhere.
+ * The result of a placement decision: the target and helpers of a request, or the reason
+ * for which it is refused or waits.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
  *
- * @param target the endpoint, or empty if the request is refused
- * @param helpers engines that read parts of its prompt
+ * @param target the endpoint, or empty if the request is refused or waits
+ * @param helpers engines that prefill parts of the prompt
  * @param holds memory that must be held on some of the helpers before the request is sent
- * @param readMillis what the target and each helper read, ms
- * @param firstMillis when the first event, or the answer, is predicted, ms from now
- * @param reason why this was decided
- * @param retryAfter when a refused caller should come back
- * @param waits whether the request should be placed again a little later
+ * @param readMillis the prefill time of the target's and of each helper's part, ms
+ * @param firstMillis the predicted time until the first event, or until the answer, ms
+ * @param reason the reason for the decision
+ * @param retryAfter the delay after which a refused caller should retry
+ * @param waits whether the request should be placed again after a short delay
  */
 public record Placement(Optional<Backend> target, List<Backend> helpers, List<MemoryHold> holds, double readMillis,
 		double firstMillis, String reason, Duration retryAfter, boolean waits) {
 
 	/**
-	 * A request that waits is placed anew after this: parts of long prompts are read in
-	 * several times as much, so that hardly any room is left unused.
+	 * The delay after which a waiting request is placed again. The prefill of a part of a
+	 * long prompt takes several times as long, so hardly any engine time is lost.
 	 */
 	public static final Duration PLACED_AGAIN = Duration.ofMillis(25);
 
 	/**
-	 * A request that goes to an endpoint.
+	 * A placement at an endpoint.
 	 * @param target the endpoint
-	 * @param helpers engines that read parts of its prompt
-	 * @param holds memory that must be held on some of the helpers before the request is
-	 * sent
-	 * @param readMillis what each of them reads, ms
-	 * @param firstMillis when the first event is predicted, ms from now
-	 * @param reason why it goes there
+	 * @param helpers engines that prefill parts of the prompt
+	 * @param readMillis the prefill time of the target's and of each helper's part, ms
+	 * @param firstMillis the predicted time until the first event, ms
+	 * @param reason the reason for the decision
 	 * @return the placement
 	 */
 	public static Placement at(Backend target, List<Backend> helpers, double readMillis, double firstMillis,
@@ -49,36 +48,36 @@
 	}
 
 	/**
-	 * The same placement with memory to be held.
-	 * @param wanted the memory, on engines that are among the helpers
+	 * This placement with memory holds.
+	 * @param requested the holds, on engines that are among the helpers
 	 * @return the placement
 	 */
-	public Placement holding(List<MemoryHold> wanted) {
-		return new Placement(this.target, this.helpers, List.copyOf(wanted), this.readMillis, this.firstMillis,
+	public Placement holding(List<MemoryHold> requested) {
+		return new Placement(this.target, this.helpers, List.copyOf(requested), this.readMillis, this.firstMillis,
 				this.reason, this.retryAfter, this.waits);
 	}
 
 	/**
 	 * The memory to be held on all helpers.
-	 * @return the tokens of context
+	 * @return the KV-cache tokens
 	 */
-	public long held() {
+	public long heldTokens() {
 		return this.holds.stream().mapToLong(MemoryHold::tokens).sum();
 	}
 
 	/**
 	 * The memory to be held on one engine.
 	 * @param engine the engine
-	 * @return the tokens of context, 0 if none is held there
+	 * @return the KV-cache tokens, 0 if none is held there
 	 */
 	public long heldAt(Backend engine) {
 		return this.holds.stream().filter((hold) -> hold.engine().equals(engine)).mapToLong(MemoryHold::tokens).sum();
 	}
 
 	/**
-	 * A request that can't be served now.
-	 * @param reason why
-	 * @param retryAfter when the caller should come back
+	 * The refusal of a request that can't be served now.
+	 * @param reason the reason for the refusal
+	 * @param retryAfter the delay after which the caller should retry
 	 * @return the placement
 	 */
 	public static Placement refused(String reason, Duration retryAfter) {
@@ -86,9 +85,10 @@
 	}
 
 	/**
-	 * A request that is better kept here for the moment than sent.
-	 * @param firstMillis when the first event is predicted, ms from now
-	 * @param reason why
+	 * A placement that keeps a request waiting at this daemon, since sending it now would
+	 * be worse.
+	 * @param firstMillis the predicted time until the first event, ms
+	 * @param reason the reason for waiting
 	 * @return the placement
 	 */
 	public static Placement later(double firstMillis, String reason) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacementPolicy.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacementPolicy.java
@@ -1,19 +1,19 @@
 package org.bramleyscale.internal.gateway.placement;
 
 /**
- * Decides where a request goes.
+ * Decides which endpoints serve a request.
  *
  * <p>
- * Implementations read the daemon's beliefs and change nothing. Confined to the
- * scheduler's thread.
+ * Implementations read the daemon's view of endpoints and their load, and don't change
+ * it. Confined to the scheduler's thread.
  */
 @FunctionalInterface
 public interface PlacementPolicy {
 
 	/**
-	 * Decides.
+	 * Places a request.
 	 * @param request the request
-	 * @return where it goes, or why it is refused
+	 * @return the placement, which may be a refusal
 	 */
 	Placement place(PlacementRequest request);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacementRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacementRequest.java
@@ -10,21 +10,21 @@
 import org.bramleyscale.internal.gateway.limit.EndpointLimits;
 
 /**
- * What a placement decision is about.
+ * The input of a placement decision.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
  *
  * @param route the request's route
  * @param service the service chosen for it
- * @param promptTokens the prompt's length; 0 for plain services
- * @param outputTokens the longest answer; 0 for plain services
- * @param left the time until its caller leaves
- * @param waited how long ago it arrived
- * @param tried endpoints that had it already and shall not get it again
- * @param limits knows which endpoints may get a request from this daemon now
- * @param near the data centre whose endpoints are nearest
+ * @param promptTokens the length of the prompt; 0 for plain services
+ * @param outputTokens the maximum length of the answer; 0 for plain services
+ * @param left the time until the caller's deadline
+ * @param waited the time since the request arrived
+ * @param tried endpoints to which it has been sent already and must not be sent again
+ * @param limits the rate limits of endpoints
+ * @param localDataCentre the data centre whose endpoints are preferred
  */
 public record PlacementRequest(Route route, Service service, long promptTokens, long outputTokens, Duration left,
-		Duration waited, Set<EndpointStart> tried, EndpointLimits limits, DataCentre near) {
+		Duration waited, Set<EndpointStart> tried, EndpointLimits limits, DataCentre localDataCentre) {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacementTuning.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacementTuning.java
@@ -1,18 +1,19 @@
 package org.bramleyscale.internal.gateway.placement;
 
 /**
- * The thresholds of {@link EnginePlacement}, as parts of what the operator's document
- * says and not as times of their own.
+ * The thresholds of {@link EnginePlacement}, relative to the targets and pauses in the
+ * operator's configuration rather than as absolute times.
  *
  * <p>
- * Daemons use {@link #DEFAULT}. Experiments change one value or switch one mechanism off;
- * each value's figures are the mean worth over three mixes of requests on modelled
- * engines (forecasts, hire-desk, departure-boards; 30 seeds each, paired), where 0.01 is
- * about the width of the 95 % interval. Immutable and safe for use by multiple threads.
+ * Daemons use {@link #DEFAULT}. Experiments change one value or disable one mechanism.
+ * The differences given for each value are in the mean worth over three mixes of requests
+ * on modelled engines (forecasts, hire-desk, departure-boards; 30 seeds each, paired),
+ * where 0.01 is about the width of the 95 % interval. Immutable and safe for use by
+ * multiple threads.
  */
 public final class PlacementTuning {
 
-	/** What daemons use. */
+	/** The thresholds that daemons use. */
 	public static final PlacementTuning DEFAULT = builder().build();
 
 	private final double pauseShare;
@@ -21,7 +22,7 @@
 
 	private final double partShare;
 
-	private final double shortFull;
+	private final double shortLaneFill;
 
 	private final double shortRoomy;
 
@@ -29,7 +30,7 @@
 
 	private final double laterThanBest;
 
-	private final double lateShare;
+	private final double overdueShare;
 
 	private final int choices;
 
@@ -41,18 +42,18 @@
 		this.pauseShare = builder.pauseShare;
 		this.wholeShare = builder.wholeShare;
 		this.partShare = builder.partShare;
-		this.shortFull = builder.shortFull;
+		this.shortLaneFill = builder.shortLaneFill;
 		this.shortRoomy = builder.shortRoomy;
 		this.freeShare = builder.freeShare;
 		this.laterThanBest = builder.laterThanBest;
-		this.lateShare = builder.lateShare;
+		this.overdueShare = builder.overdueShare;
 		this.choices = builder.choices;
 		this.lanes = builder.lanes;
 		this.budgets = builder.budgets;
 	}
 
 	/**
-	 * Starts from what daemons use.
+	 * Returns a builder with the default thresholds.
 	 * @return a builder
 	 */
 	public static Builder builder() {
@@ -60,18 +61,20 @@
 	}
 
 	/**
-	 * The part of a stream's longest pause that a pass may take; the rest is for what
-	 * other daemons send unheard, and for the way to the caller.
-	 * @return the part; 0.9 and 1 differ by less than 0.003
+	 * The share of a stream's longest permitted pause that a pass may take. The rest
+	 * allows for requests of other daemons that this daemon does not know of yet, and for
+	 * the network delay to the caller.
+	 * @return the share; 0.9 and 1 differ by less than 0.003
 	 */
 	double pauseShare() {
 		return this.pauseShare;
 	}
 
 	/**
-	 * The longest reading that one engine does for a prompt by itself among short
-	 * answers, as a part of the time that the strictest pause leaves for reading.
-	 * @return the part; 0.45 and 0.6 differ by less than 0.005, 0.4 loses up to 0.007,
+	 * The longest prefill that a single engine does for one prompt alongside short
+	 * answers, as a share of the time that the strictest permitted pause leaves for
+	 * prefill.
+	 * @return the share; 0.45 and 0.6 differ by less than 0.005, 0.4 loses up to 0.007,
 	 * 0.75 up to 0.02
 	 */
 	double wholeShare() {
@@ -79,49 +82,53 @@
 	}
 
 	/**
-	 * What each engine reads at a time of a prompt that several read among short answers,
-	 * as a part of the same time: two or three parts may meet in a pass.
-	 * @return the part; 0.2 and 0.35 differ from 0.3 by less than 0.005
+	 * The prefill of each part of a prompt that is split over several engines alongside
+	 * short answers, as a share of the time that the strictest permitted pause leaves for
+	 * prefill. Two or three parts may fall into the same pass.
+	 * @return the share; 0.2 and 0.35 differ from 0.3 by less than 0.005
 	 */
 	double partShare() {
 		return this.partShare;
 	}
 
 	/**
-	 * The part of the short lane's slots that is taken before the lane grows.
-	 * @return the part; 0.6 loses up to 0.006, 0.5 up to 0.03
+	 * The share of the short lane's slots that is occupied before the lane grows.
+	 * @return the share; 0.6 loses up to 0.006, 0.5 up to 0.03
 	 */
-	double shortFull() {
-		return this.shortFull;
+	double shortLaneFill() {
+		return this.shortLaneFill;
 	}
 
 	/**
-	 * The part of the short lane's slots that is taken before the lane grows while the
-	 * long lane keeps as many engines as can read one prompt. With 54 to 172 engines it
-	 * gains 0.002 to 0.008 of the worth, 0.015 where 170 short prompts come within 0.3 s
-	 * (16 seeds, paired, half of the 95 % interval 0.005 to 0.007); with 14 to 21 engines
-	 * there are none to spare, and the same share would lose 0.007 to 0.018.
-	 * @return the part; 0.4 is 0.006 worse with 172 engines
+	 * The share of the short lane's slots that is occupied before the lane grows while
+	 * the long lane keeps as many engines as can share one prompt. With 54 to 172 engines
+	 * this gains 0.002 to 0.008 of the worth, and 0.015 where 170 short prompts arrive
+	 * within 0.3 s (16 seeds, paired, half of the 95 % interval 0.005 to 0.007). With 14
+	 * to 21 engines there are no engines to spare, and the same share would lose 0.007 to
+	 * 0.018.
+	 * @return the share; 0.4 is 0.006 worse with 172 engines
 	 */
 	double shortRoomy() {
 		return this.shortRoomy;
 	}
 
 	/**
-	 * What an engine on which nobody writes may have before it, as a part of the
-	 * service's longest time to the first event. Engines read what they have in no order
-	 * of ours: twenty long prompts sent at once all end after the time of twenty.
-	 * @return the part; 0.25 to 0.5 differ by less than 0.005, 0.12 loses 0.007 to 0.04,
-	 * no bound 0.006 to 0.017
+	 * The prefill backlog up to which an engine without a stream that limits its pauses
+	 * takes more work, as a share of the service's slowest target for the first event.
+	 * Engines process their prompts concurrently in an order that daemons don't control,
+	 * so twenty long prompts sent at once all finish only after the time of twenty.
+	 * @return the share; 0.25 to 0.5 differ by less than 0.005, 0.12 loses 0.007 to 0.04,
+	 * no bound loses 0.006 to 0.017
 	 */
 	double freeShare() {
 		return this.freeShare;
 	}
 
 	/**
-	 * How much later than if the whole lane read it a long prompt may be read once its
-	 * target is missed or can't be met: sent to the one engine that has room at the
-	 * moment, a very long one would be read there until its caller has left.
+	 * How much later than on the whole lane the prefill of a long prompt may finish once
+	 * its target is missed or can't be met. Without this bound a very long prompt would
+	 * go to the single engine that is free at the moment, and its prefill there would
+	 * outlast the caller's deadline.
 	 * @return the factor; 2.5 loses 0.001 to 0.008, without it 0.002 to 0.015 are lost,
 	 * 1.1 gains up to 0.004 and refuses two to five times as many
 	 */
@@ -130,21 +137,22 @@
 	}
 
 	/**
-	 * What counts as read soon for a prompt that has missed its target, as a part of that
-	 * target, whatever the whole lane could do. One of 139,000 tokens that had lost its
-	 * engine waited 3.7 s for a lane with nothing else to read.
-	 * @return the part; 0 to 0.7 differ by less than 0.005
+	 * The prefill time that is always acceptable for a prompt that has missed its target,
+	 * as a share of that target, whatever the whole lane could achieve. Without it, a
+	 * prompt of 139,000 tokens whose engine had failed waited 3.7 s for a lane with no
+	 * other work.
+	 * @return the share; 0 to 0.7 differ by less than 0.005
 	 */
-	double lateShare() {
-		return this.lateShare;
+	double overdueShare() {
+		return this.overdueShare;
 	}
 
 	/**
-	 * Engines among which one is chosen for a short prompt. All daemons know the same of
-	 * engines, some hundred milliseconds late in a large fleet; if each took the best of
-	 * all, they would all take the same one until they hear of it. With 69 engines and 76
-	 * daemons that hear of each other after 250 ms, 0.87 of short prompts were in time
-	 * with 3, 0.89 with 2, 0.80 with 5, 0.15 with all.
+	 * The number of engines sampled for a short prompt. All daemons have the same view of
+	 * the engines, which lags by some hundred milliseconds in a large fleet; if each
+	 * chose the best of all engines, they would all choose the same one until the view is
+	 * updated. With 69 engines and 76 daemons whose updates take 250 ms, 0.87 of short
+	 * prompts were in time with 3, 0.89 with 2, 0.80 with 5, 0.15 with all.
 	 * @return the number
 	 */
 	int choices() {
@@ -152,7 +160,7 @@
 	}
 
 	/**
-	 * Whether long prompts are kept on engines of their own.
+	 * Whether long prompts have engines of their own.
 	 * @return false only in experiments
 	 */
 	boolean lanes() {
@@ -160,7 +168,8 @@
 	}
 
 	/**
-	 * Whether long prompts keep to the pauses of the streams that they meet.
+	 * Whether the placement of long prompts respects the permitted pauses of active
+	 * streams.
 	 * @return false only in experiments
 	 */
 	boolean budgets() {
@@ -168,7 +177,7 @@
 	}
 
 	/**
-	 * Collects values; not safe for use by multiple threads.
+	 * Builder of thresholds; not safe for use by multiple threads.
 	 */
 	public static final class Builder {
 
@@ -178,7 +187,7 @@
 
 		private double partShare = 0.3;
 
-		private double shortFull = 0.7;
+		private double shortLaneFill = 0.7;
 
 		private double shortRoomy = 0.5;
 
@@ -186,7 +195,7 @@
 
 		private double laterThanBest = 1.5;
 
-		private double lateShare = 0.4;
+		private double overdueShare = 0.4;
 
 		private int choices = 3;
 
@@ -199,7 +208,7 @@
 
 		/**
 		 * Sets {@link PlacementTuning#pauseShare()}.
-		 * @param value a part of a pause, 0 to 1
+		 * @param value a share of a pause, 0 to 1
 		 * @return this builder
 		 */
 		public Builder pauseShare(double value) {
@@ -209,7 +218,7 @@
 
 		/**
 		 * Sets {@link PlacementTuning#wholeShare()}.
-		 * @param value a part of the time for reading
+		 * @param value a share of the time for prefill
 		 * @return this builder
 		 */
 		public Builder wholeShare(double value) {
@@ -219,7 +228,7 @@
 
 		/**
 		 * Sets {@link PlacementTuning#partShare()}.
-		 * @param value a part of the time for reading
+		 * @param value a share of the time for prefill
 		 * @return this builder
 		 */
 		public Builder partShare(double value) {
@@ -228,19 +237,19 @@
 		}
 
 		/**
-		 * Sets {@link PlacementTuning#shortFull()}.
-		 * @param value a part of the slots, 0 to 1
+		 * Sets {@link PlacementTuning#shortLaneFill()}.
+		 * @param value a share of the slots, 0 to 1
 		 * @return this builder
 		 */
-		public Builder shortFull(double value) {
-			this.shortFull = value;
+		public Builder shortLaneFill(double value) {
+			this.shortLaneFill = value;
 			return this;
 		}
 
 		/**
 		 * Sets {@link PlacementTuning#shortRoomy()}.
-		 * @param value a part of the slots, 0 to 1; {@link PlacementTuning#shortFull()}
-		 * to treat all fleets alike
+		 * @param value a share of the slots, 0 to 1;
+		 * {@link PlacementTuning#shortLaneFill()} treats fleets of all sizes alike
 		 * @return this builder
 		 */
 		public Builder shortRoomy(double value) {
@@ -250,7 +259,7 @@
 
 		/**
 		 * Sets {@link PlacementTuning#freeShare()}.
-		 * @param value a part of the slowest target
+		 * @param value a share of the slowest target
 		 * @return this builder
 		 */
 		public Builder freeShare(double value) {
@@ -269,18 +278,18 @@
 		}
 
 		/**
-		 * Sets {@link PlacementTuning#lateShare()}.
-		 * @param value a part of the prompt's target
+		 * Sets {@link PlacementTuning#overdueShare()}.
+		 * @param value a share of the prompt's target
 		 * @return this builder
 		 */
-		public Builder lateShare(double value) {
-			this.lateShare = value;
+		public Builder overdueShare(double value) {
+			this.overdueShare = value;
 			return this;
 		}
 
 		/**
 		 * Sets {@link PlacementTuning#choices()}.
-		 * @param value engines, 1 or more
+		 * @param value the number of engines, 1 or more
 		 * @return this builder
 		 */
 		public Builder choices(int value) {
@@ -290,7 +299,7 @@
 
 		/**
 		 * Sets {@link PlacementTuning#lanes()}.
-		 * @param value false to read long prompts anywhere
+		 * @param value false to place long prompts on any engine
 		 * @return this builder
 		 */
 		public Builder lanes(boolean value) {
@@ -300,7 +309,7 @@
 
 		/**
 		 * Sets {@link PlacementTuning#budgets()}.
-		 * @param value false to let all of the lane read at once
+		 * @param value false to use the whole lane at once for each long prompt
 		 * @return this builder
 		 */
 		public Builder budgets(boolean value) {
@@ -309,7 +318,7 @@
 		}
 
 		/**
-		 * Makes the thresholds.
+		 * Builds the thresholds.
 		 * @return the thresholds
 		 */
 		public PlacementTuning build() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlainPlacement.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlainPlacement.java
@@ -11,28 +11,37 @@
 import org.bramleyscale.internal.gateway.load.LoadBoard;
 
 /**
- * Sends requests of plain services to the endpoint with the most free slots.
+ * Sends requests of plain services to the endpoint with the largest share of free slots.
  *
  * <p>
- * Endpoints that failed lately come last, since a request that can't be repeated is lost
- * with the first failure. Confined to the scheduler's thread.
+ * Endpoints that failed recently come last, since a request that is not repeatable is
+ * lost with its first failure. Confined to the scheduler's thread.
  */
 public final class PlainPlacement implements PlacementPolicy {
 
-	/** When no endpoint is known: a crashed one is back after a few seconds at best. */
-	static final Duration NO_ENDPOINT_PAUSE = Duration.ofMillis(500);
+	/**
+	 * Retry delay without a known endpoint: a crashed one takes at least a few seconds to
+	 * restart.
+	 */
+	static final Duration NO_ENDPOINT_RETRY_DELAY = Duration.ofMillis(500);
 
-	/** Endpoints in need take about one request in this time. */
-	private static final Duration LIMITED_PAUSE = Duration.ofSeconds(1);
+	/** Endpoints at their rate limit accept about one request in this time. */
+	private static final Duration LIMITED_RETRY_DELAY = Duration.ofSeconds(1);
 
-	private static final double AVOIDED = 100;
+	private static final double AVOIDED_PENALTY = 100;
 
-	private static final double FAILURE = 2;
+	private static final double FAILURE_PENALTY = 2;
 
-	/** As much as a twentieth of the slots taken: the way is 2 ms longer at most. */
-	private static final double FAR = 0.05;
+	/**
+	 * Score of an endpoint in another data centre, equal to a twentieth of the slots: the
+	 * additional latency is at most 2 ms.
+	 */
+	private static final double REMOTE_PENALTY = 0.05;
 
-	/** Spreads equal scores, so that daemons don't all choose the same endpoint. */
+	/**
+	 * Random part of the score, so that daemons don't all choose the same of equal
+	 * endpoints.
+	 */
 	private static final double JITTER = 0.02;
 
 	private final BackendTable backends;
@@ -57,8 +66,9 @@
 		double bestScore = Double.POSITIVE_INFINITY;
 		for (Backend backend : usable) {
 			double score = score(backend, request);
-			boolean may = opensIn(backend, request, this.health).isZero() && !request.tried().contains(backend.start());
-			if (may && score < bestScore) {
+			boolean eligible = availableIn(backend, request, this.health).isZero()
+					&& !request.tried().contains(backend.start());
+			if (eligible && score < bestScore) {
 				best = backend;
 				bestScore = score;
 			}
@@ -70,20 +80,20 @@
 	}
 
 	/**
-	 * The refusal of a request that no endpoint may get.
+	 * The refusal of a request for which no endpoint is available.
 	 * @param usable the endpoints of its service
 	 * @param request the request
-	 * @param health knows which of them rest
-	 * @return the refusal, with the reason and the time until the first of them may get
-	 * it
+	 * @param health the endpoints' backoff
+	 * @return the refusal, with the reason and the time until the first endpoint becomes
+	 * available
 	 */
 	static Placement refused(List<Backend> usable, PlacementRequest request, BackendHealth health) {
-		Duration pause = usable.stream()
-			.map((backend) -> opensIn(backend, request, health))
-			.map((opensIn) -> opensIn.isZero() ? NO_ENDPOINT_PAUSE : opensIn)
+		Duration retryDelay = usable.stream()
+			.map((backend) -> availableIn(backend, request, health))
+			.map((availableIn) -> availableIn.isZero() ? NO_ENDPOINT_RETRY_DELAY : availableIn)
 			.min(Comparator.naturalOrder())
-			.orElse(NO_ENDPOINT_PAUSE);
-		return Placement.refused(reason(usable, request, health), pause);
+			.orElse(NO_ENDPOINT_RETRY_DELAY);
+		return Placement.refused(reason(usable, request, health), retryDelay);
 	}
 
 	private static String reason(List<Backend> usable, PlacementRequest request, BackendHealth health) {
@@ -98,22 +108,22 @@
 	}
 
 	/**
-	 * When an endpoint may get a request from this daemon.
+	 * The time until an endpoint becomes available to this daemon.
 	 * @param backend the endpoint
 	 * @param request the request
-	 * @param health knows whether it rests
-	 * @return the time until then, zero for now
+	 * @param health the endpoint's backoff
+	 * @return the time, zero if it is available now
 	 */
-	private static Duration opensIn(Backend backend, PlacementRequest request, BackendHealth health) {
+	private static Duration availableIn(Backend backend, PlacementRequest request, BackendHealth health) {
 		Duration rest = health.restLeft(backend.start());
-		return (rest.isZero() && !request.limits().open(backend.start())) ? LIMITED_PAUSE : rest;
+		return (rest.isZero() && !request.limits().open(backend.start())) ? LIMITED_RETRY_DELAY : rest;
 	}
 
 	private double score(Backend backend, PlacementRequest request) {
-		double busy = (double) this.loads.load(backend.start()).active() / Math.max(1, backend.slots());
-		double avoided = this.health.avoid(backend.start()) ? AVOIDED : 0;
-		double near = backend.dataCentre().equals(request.near()) ? 0 : FAR;
-		return avoided + FAILURE * this.health.failures(backend.start()) + busy + near
+		double occupancy = (double) this.loads.load(backend.start()).active() / Math.max(1, backend.slots());
+		double avoidedPenalty = this.health.avoid(backend.start()) ? AVOIDED_PENALTY : 0;
+		double distance = backend.dataCentre().equals(request.localDataCentre()) ? 0 : REMOTE_PENALTY;
+		return avoidedPenalty + FAILURE_PENALTY * this.health.failures(backend.start()) + occupancy + distance
 				+ JITTER * this.random.nextDouble();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Decides which endpoint, or group of engines, gets a relayed request.
+ * Chooses the endpoint or the group of engines for each relayed request.
  */
 package org.bramleyscale.internal.gateway.placement;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/LoadBoardTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/LoadBoardTests.java
@@ -28,46 +28,44 @@
 
 	@ParameterizedTest
 	@CsvSource({ "0, 400", "100, 300", "390, 60", "5000, 60" })
-	void whatIsReadCountsLessAsTimePassesButNeverNothing(long millis, double left) {
+	void remainingPrefillShrinksOverTimeToAMinimum(long millis, double remaining) {
 		this.loads.begin(ENGINE, 400, 10, true, 250);
 		this.scheduler.advance(Duration.ofMillis(millis));
-		Truth.assertThat(this.loads.load(ENGINE).readMillis()).isWithin(0.01).of(left);
+		Truth.assertThat(this.loads.load(ENGINE).readMillis()).isWithin(0.01).of(remaining);
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "0, 1600", "400, 1200", "900, 700", "5000, 240" })
-	void waitingPromptsAreReadOneAfterTheOtherWhoeverSentThem(long millis, double left) {
-		// Symptom: first events seconds later than predicted. Sequence: two daemons send
-		// two
-		// long prompts each to one engine. Cause: each prompt is counted down by itself,
-		// as
-		// if the engine read all four at once.
+	void queuedPromptsAreProcessedSequentiallyAcrossDaemons(long millis, double remaining) {
+		// Guards against first events that come seconds later than predicted: two daemons
+		// send two long prompts each to one engine, and each prompt is counted down
+		// separately, as if the engine processed all four at once.
 		this.loads.begin(ENGINE, 400, 10, true, 250);
 		this.loads.begin(ENGINE, 400, 10, true, 250);
 		this.scheduler.advance(Duration.ofMillis(millis));
 		this.loads.told(PEER, List
 			.of(new LoadTold.Share("e1", 2, 800, 20, (int) Math.min(millis, 5_000), LoadTold.Share.NEVER, 0, 600)));
-		Truth.assertThat(this.loads.load(ENGINE).readMillis()).isWithin(0.01).of(left);
+		Truth.assertThat(this.loads.load(ENGINE).readMillis()).isWithin(0.01).of(remaining);
 	}
 
 	@Test
-	void aPromptThatIsReadStartsTheNextOne() {
+	void aCompletedPrefillStartsTheNextOne() {
 		LoadBoard.Work first = this.loads.begin(ENGINE, 400, 10, true, 250);
 		this.loads.begin(ENGINE, 300, 10, true, 250);
 		this.scheduler.advance(Duration.ofMillis(600));
-		first.read();
+		first.prefillDone();
 		Truth.assertThat(this.loads.load(ENGINE).readMillis()).isWithin(0.01).of(300);
 		this.scheduler.advance(Duration.ofMillis(100));
 		Truth.assertThat(this.loads.load(ENGINE).readMillis()).isWithin(0.01).of(200);
 	}
 
 	@Test
-	void workLeavesTheBoardAsItIsDone() {
+	void completedWorkIsRemoved() {
 		LoadBoard.Work target = this.loads.begin(ENGINE, 400, 10, true, 250);
 		LoadBoard.Work helper = this.loads.begin(ENGINE, 400, 0, false, EndpointLoad.ANY_PAUSE);
 		LoadBoard.Work holder = this.loads.begin(ENGINE, 400, 30, false, EndpointLoad.ANY_PAUSE);
 		Truth.assertThat(this.loads.load(ENGINE).helping()).isEqualTo(2);
-		List.of(target, helper, holder).forEach(LoadBoard.Work::read);
+		List.of(target, helper, holder).forEach(LoadBoard.Work::prefillDone);
 		Truth.assertThat(this.loads.load(ENGINE)).isEqualTo(new EndpointLoad(1, 0, 40, 0, 250));
 		List.of(target, helper, holder).forEach(LoadBoard.Work::end);
 		Truth.assertThat(this.loads.load(ENGINE)).isEqualTo(EndpointLoad.IDLE);
@@ -75,14 +73,13 @@
 	}
 
 	@Test
-	void aPeersWorkCountsUntilThePeerFallsSilent() {
-		// Symptom: an idle engine gets no work. Sequence: a daemon with work there is
-		// killed.
-		// Cause: its last word would count for ever.
+	void aPeersWorkExpiresWithoutUpdates() {
+		// Guards against an idle engine that gets no work: a daemon with work there is
+		// killed, and its last update must not count for ever.
 		this.loads.told(PEER, List.of(new LoadTold.Share("e1", 3, 500, 70, 0, LoadTold.Share.NEVER, 2, 600)));
 		this.scheduler.advance(Duration.ofMillis(200));
 		Truth.assertThat(this.loads.load(ENGINE)).isEqualTo(new EndpointLoad(3, 300, 70, 2, 600));
-		this.scheduler.advance(LoadBoard.PEER_KEPT);
+		this.scheduler.advance(LoadBoard.PEER_EXPIRY);
 		Truth.assertThat(this.loads.load(ENGINE)).isEqualTo(EndpointLoad.IDLE);
 	}
 
@@ -93,7 +90,7 @@
 		this.loads.told(PEER, List.of(new LoadTold.Share("e1", 1, 0, 70, 0, LoadTold.Share.NEVER, 0, 250)));
 		Truth.assertThat(this.loads.load(ENGINE).pauseMillis()).isEqualTo(250);
 		own.end();
-		this.scheduler.advance(LoadBoard.PEER_KEPT);
+		this.scheduler.advance(LoadBoard.PEER_EXPIRY);
 		Truth.assertThat(this.loads.load(ENGINE).pauseMillis()).isEqualTo(EndpointLoad.ANY_PAUSE);
 	}
 
@@ -106,7 +103,7 @@
 		Truth.assertThat(demands.shortActive(SERVICE)).isEqualTo(5);
 		Truth.assertThat(demands.waitingAhead(SERVICE, 1_200)).isWithin(0.01).of(1_000 + 2 * 1_200);
 		demands.waitEnded(SERVICE, 1_000);
-		this.scheduler.advance(LoadBoard.PEER_KEPT.plusMillis(1));
+		this.scheduler.advance(LoadBoard.PEER_EXPIRY.plusMillis(1));
 		Truth.assertThat(demands.shortActive(SERVICE)).isEqualTo(1);
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/LoadExchangeTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/LoadExchangeTests.java
@@ -42,7 +42,7 @@
 
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void everyDaemonKnowsTheWorkOfAllOthersOnce(boolean flat) {
+	void everyDaemonCountsTheWorkOfAllOthersOnce(boolean flat) {
 		start(flat, 4);
 		this.fleet.values().forEach((daemon) -> daemon.loads.begin(ENGINE, 0, 100, true, 250));
 		this.fleet.values().forEach((daemon) -> daemon.loads.begin(ENGINE, 0, 0, false, EndpointLoad.ANY_PAUSE));
@@ -58,10 +58,9 @@
 
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void theWorkOfADeadDaemonIsForgotten(boolean flat) {
-		// Symptom: engines look busy for ever. Sequence: a daemon with work is killed.
-		// Cause:
-		// relays would go on adding its last word to their sums.
+	void theWorkOfADeadDaemonExpires(boolean flat) {
+		// Guards against engines that look busy for ever: a daemon with work is killed,
+		// and relays must not keep its last update in their sums.
 		start(flat, 4);
 		Daemon dead = this.fleet.get(new VmId("dc1-3"));
 		dead.loads.begin(ENGINE, 0, 100, true, 250);
@@ -76,31 +75,31 @@
 
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void aDaemonsOwnWorkIsNeverAmongThatOfOthers(boolean flat) {
-		// Symptom: a daemon avoids engines that only it uses. Sequence: it sends a long
-		// prompt, which it tells at once, between two rounds of the relays. Cause: sums
-		// hold its work as it was when it last told.
+	void aDaemonsOwnWorkIsNotCountedTwice(boolean flat) {
+		// Guards against a daemon that avoids engines which only it uses: it sends a long
+		// prompt and an update between two sums of the relays, and a sum contains its
+		// load as of an earlier update.
 		start(flat, 4);
-		Daemon alone = this.fleet.get(new VmId("dc1-3"));
+		Daemon sender = this.fleet.get(new VmId("dc1-3"));
 		for (int i = 0; i < 30; i++) {
-			alone.loads.begin(ENGINE, 0, 100, true, 250);
-			alone.exchange.tell();
+			sender.loads.begin(ENGINE, 0, 100, true, 250);
+			sender.exchange.tell();
 			this.scheduler.advance(Duration.ofMillis(37));
-			Truth.assertThat(alone.loads.load(ENGINE).active()).isEqualTo(i + 1);
+			Truth.assertThat(sender.loads.load(ENGINE).active()).isEqualTo(i + 1);
 		}
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "true, 25", "false, 430" })
-	void whatBeginsAndEndsIsKnownEverywhereAMomentLater(boolean flat, int millis) {
-		// Symptom: of 95 daemons many choose the same engine at the same time. Cause:
-		// tellings and sums waited for their next round, 0.25 s in all.
+	void changesOfWorkReachAllDaemonsWithinABound(boolean flat, int millis) {
+		// Guards against many of 95 daemons choosing the same engine at the same time,
+		// since updates and sums that wait for the next interval take 0.25 s in all.
 		start(flat, 4);
 		this.scheduler.advance(Duration.ofMillis(777));
 		LoadBoard.Work work = this.fleet.get(new VmId("dc1-3")).loads.begin(ENGINE, 120, 100, true, 250);
 		this.scheduler.advance(Duration.ofMillis(millis));
 		others("dc1-3").forEach((daemon) -> Truth.assertThat(daemon.loads.load(ENGINE).active()).isEqualTo(1));
-		work.read();
+		work.prefillDone();
 		this.scheduler.advance(Duration.ofMillis(millis));
 		others("dc1-3").forEach((daemon) -> Truth.assertThat(daemon.loads.load(ENGINE).readMillis()).isEqualTo(0));
 		work.end();
@@ -109,10 +108,10 @@
 	}
 
 	@Test
-	void relaysKnowEachOthersWorkAtOnce() {
-		// Symptom: callers' daemons choose the same engine at the same time. Sequence:
-		// callers are sent to relays; one takes a request, 200 ms later the sum of its
-		// data centre tells the others. Cause: relays told each other by sums only.
+	void relaysReceiveEachOthersWorkDirectly() {
+		// Guards against relays choosing the same engine at the same time: callers are
+		// sent to relays, and if relays exchange only sums, the others learn of a request
+		// 200 ms later.
 		start(false, 4);
 		this.scheduler.advance(Duration.ofMillis(777));
 		LoadBoard.Work work = this.fleet.get(new VmId("dc1-1")).loads.begin(ENGINE, 120, 100, true, 250);
@@ -125,21 +124,21 @@
 
 	@ParameterizedTest
 	@CsvSource({ "true, dc2-1", "false, dc2-1", "false, dc3-1" })
-	void aRelayThatFallsSilentIsNoticedByAllWithinASecondOrSo(boolean flat, String observer) {
-		// Symptom: callers are named a daemon that doesn't answer. Sequence: a relay
-		// freezes; its connections stay open. Cause: daemons elsewhere heard of it from
-		// membership, seconds later.
+	void anUnresponsiveRelayIsDetectedByAllDaemons(boolean flat, String observer) {
+		// Guards against naming an unresponsive daemon to callers: a relay freezes while
+		// its connections stay open, and daemons that don't get its updates would learn
+		// of it only from membership, seconds later.
 		start(flat, 4);
 		this.scheduler.advance(Duration.ofMillis(900));
 		VmId frozen = new VmId("dc1-1");
-		LoadExchange asked = this.fleet.get(new VmId(observer)).exchange;
-		Truth.assertThat(asked.unheard(frozen)).isFalse();
+		LoadExchange observerExchange = this.fleet.get(new VmId(observer)).exchange;
+		Truth.assertThat(observerExchange.unheard(frozen)).isFalse();
 		this.fleet.get(frozen).alive = false;
 		this.scheduler.advance(Duration.ofMillis(1_300));
-		Truth.assertThat(asked.unheard(frozen)).isTrue();
+		Truth.assertThat(observerExchange.unheard(frozen)).isTrue();
 		this.fleet.get(frozen).alive = true;
 		this.scheduler.advance(Duration.ofMillis(600));
-		Truth.assertThat(asked.unheard(frozen)).isFalse();
+		Truth.assertThat(observerExchange.unheard(frozen)).isFalse();
 	}
 
 	private List<Daemon> relays() {
@@ -147,10 +146,10 @@
 	}
 
 	@Test
-	void whatALostMessageSaidIsToldAgain() {
-		// Symptom: a daemon believes an engine to be idle or busy for ever. Sequence:
-		// the message that tells of a change is lost with its connection. Cause: the next
-		// one tells only of what has changed since.
+	void changesInALostMessageAreSentAgain() {
+		// Guards against a daemon that takes an engine for idle or busy for ever: the
+		// message with a change is lost with its connection, and the next one contains
+		// only later changes.
 		start(false, 4);
 		Daemon daemon = this.fleet.get(new VmId("dc1-3"));
 		daemon.loads.begin(ENGINE, 0, 100, true, 250);
@@ -169,18 +168,18 @@
 
 	@ParameterizedTest
 	@CsvSource({ "4, 45", "20, 45" })
-	void aDaemonThatIsNoRelaySendsAsMuchInALargeFleetAsInASmallOne(int each, int most) {
-		start(false, each);
+	void messagesOfADaemonThatIsNoRelayDoNotGrowWithTheFleet(int daemonsPerDataCentre, int maxMessages) {
+		start(false, daemonsPerDataCentre);
 		Daemon member = this.fleet.get(new VmId("dc2-3"));
 		member.loads.begin(ENGINE, 0, 100, true, 250);
 		this.scheduler.advance(Duration.ofSeconds(2));
-		Truth.assertThat(member.sent).isAtMost(most);
+		Truth.assertThat(member.sent).isAtMost(maxMessages);
 	}
 
-	private void start(boolean small, int each) {
+	private void start(boolean small, int daemonsPerDataCentre) {
 		this.flat = small;
 		for (int dataCentre = 1; dataCentre <= 3; dataCentre++) {
-			for (int i = 1; i <= each; i++) {
+			for (int i = 1; i <= daemonsPerDataCentre; i++) {
 				Daemon daemon = new Daemon(new VmId("dc" + dataCentre + "-" + i), "dc" + dataCentre, i <= 2);
 				this.fleet.put(daemon.vm, daemon);
 			}
@@ -189,7 +188,7 @@
 	}
 
 	/**
-	 * One daemon with its boards.
+	 * A daemon with its load and demand boards, connected to the others in memory.
 	 */
 	private final class Daemon implements PeerNetwork, LoadRoutes {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/placement/EnginePlacementTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/placement/EnginePlacementTests.java
@@ -44,7 +44,9 @@
 	private static final Service SERVICE = new Service(NAME, 364, Optional.of(PROFILE),
 			new StreamAims(Duration.ofMillis(250), Duration.ofSeconds(3)));
 
-	/** 0.55 of what a pause of 250 ms leaves beside a pass of 45 ms. */
+	/**
+	 * 0.55 of the time that a permitted pause of 250 ms leaves beside a pass of 45 ms.
+	 */
 	private static final double LONGEST_PART_MILLIS = 113;
 
 	private final ManualScheduler scheduler = new ManualScheduler();
@@ -55,7 +57,7 @@
 
 	private final LoadBoard loads = new LoadBoard(this.scheduler);
 
-	/** Engines that name a limit of which the daemon has nothing left. */
+	/** Engines whose rate limit is exhausted for this daemon. */
 	private final Set<EndpointStart> closed = new HashSet<>();
 
 	private final DemandBoard demands = new DemandBoard(this.scheduler);
@@ -72,18 +74,18 @@
 
 	@ParameterizedTest
 	@CsvSource({ "5000, 1", "14000, 1", "16000, 3", "23000, 4", "45000, 8", "80000, 17" })
-	void shortAndMediumPromptsAreReadInPartsThatFitAPause(long tokens, int readers) {
+	void shortAndMediumPromptsAreSplitIntoPartsThatFitAPause(long tokens, int engineCount) {
 		shortRequests(130);
 		Placement placed = place(tokens);
-		Truth.assertThat(placed.helpers()).hasSize(readers - 1);
+		Truth.assertThat(placed.helpers()).hasSize(engineCount - 1);
 		Truth.assertThat(placed.readMillis()).isAtMost(LONGEST_PART_MILLIS);
 	}
 
 	@Test
 	void longPromptsStayInTheirLane() {
-		// Symptom: all short answers pause for half a second. Sequence: a manual arrives
-		// while 155 short answers are written. Cause: its reading is spread over all
-		// engines.
+		// Guards against long prompts that delay all short answers by half a second: a
+		// manual arrives while 155 short answers are generated, and its prefill is spread
+		// over all engines.
 		shortRequests(155);
 		Placement placed = place(182_000);
 		Set<EndpointStart> used = new HashSet<>();
@@ -104,11 +106,12 @@
 	}
 
 	/**
-	 * Guards against prompts, parts of prompts and memory on engines that want nothing.
+	 * Guards against sending prompts, parts of prompts and memory holds to engines that
+	 * are backing off.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "5000", "45000", "182000", "700000" })
-	void enginesThatAskedForRestAreUsedForNothing(long tokens) {
+	void enginesInBackoffAreNotUsed(long tokens) {
 		Set<EndpointStart> resting = Set.of(id(0), id(1), id(18), id(20));
 		resting.forEach((engine) -> this.health.asksForRest(engine, Duration.ofSeconds(3)));
 		for (int i = 0; i < 20; i++) {
@@ -122,9 +125,9 @@
 		}
 	}
 
-	/** Guards against callers who come back while no engine takes anything. */
+	/** Guards against callers who retry while all engines are still backing off. */
 	@Test
-	void whereAllEnginesRestTheFirstEndOfARestIsTold() {
+	void retryDelayIsTheShortestBackoffIfAllEnginesBackOff() {
 		for (int i = 0; i < 21; i++) {
 			this.health.asksForRest(id(i), Duration.ofSeconds(20 - i / 2));
 		}
@@ -133,9 +136,12 @@
 		Truth.assertThat(placed.retryAfter()).isEqualTo(Duration.ofSeconds(10));
 	}
 
-	/** Guards against a short lane that is mostly made of engines which take nothing. */
+	/**
+	 * Guards against a short lane that consists mostly of engines which accept no
+	 * requests.
+	 */
 	@Test
-	void enginesThatNameALimitAreNoPartOfALane() {
+	void enginesWithARateLimitBelongToNoLane() {
 		this.closed.addAll(Set.of(id(0), id(1), id(2), id(20)));
 		Set<EndpointStart> used = new HashSet<>();
 		for (int i = 0; i < 30; i++) {
@@ -148,7 +154,7 @@
 	}
 
 	@Test
-	void whatNoEngineMayGetIsRefusedWithATimeToComeBack() {
+	void requestsAreRefusedWithARetryDelayIfAllLimitsAreReached() {
 		for (int i = 0; i < 21; i++) {
 			this.closed.add(id(i));
 		}
@@ -168,7 +174,7 @@
 
 	@ParameterizedTest
 	@CsvSource({ "300000, 0, 0", "500000, 1, 128600", "900000, 2, 528600" })
-	void promptsOverOneEnginesMemoryHoldTheRestElsewhere(long tokens, int engines, long held) {
+	void promptsLargerThanOneEnginesMemoryHoldMemoryOnHelpers(long tokens, int engines, long held) {
 		Placement placed = place(tokens);
 		Truth.assertThat(placed.holds()).hasSize(engines);
 		Truth.assertThat(placed.holds().stream().mapToLong(MemoryHold::tokens).sum()).isEqualTo(held);
@@ -179,11 +185,11 @@
 
 	@ParameterizedTest
 	@CsvSource({ "45000", "182000" })
-	void enginesThatHelpAsManyAsTheyMayAreLeftAlone(long tokens) {
-		// Symptom: long prompts are refused by engines that have slots and memory, each
-		// time in the name of a helper. Sequence: twenty long prompts in hand, all of the
-		// long lane reads each. Cause: an engine helps with as many requests at a time as
-		// it has slots, and nobody counted them.
+	void enginesAtTheirHelpLimitAreNotUsedAsHelpers(long tokens) {
+		// Guards against long prompts that are refused by helpers although slots and
+		// memory are free: with twenty active long prompts, each is shared by all engines
+		// of the long lane, and an engine helps with no more requests at a time than it
+		// has slots.
 		List<EndpointStart> helping = List.of(id(1), id(2), id(18), id(19));
 		for (int i = 0; i < 11; i++) {
 			helping.forEach((engine) -> this.loads.begin(engine, 1, 0, false, EndpointLoad.ANY_PAUSE));
@@ -196,10 +202,11 @@
 
 	@ParameterizedTest
 	@CsvSource({ "120000, 1000, true", "120000, 850, false", "350000, 850, true", "350000, 200, false" })
-	void longPromptsWaitWhileTheLaneReadsTheShortestGoFirst(long tokens, double unread, boolean waits) {
-		// Symptom: twenty long prompts, and not one in time. Sequence: they arrive within
-		// 3 s. Cause: engines read all that they have together, so all end with the last.
-		busy(unread);
+	void longPromptsWaitForABusyLaneAndTheShortestGoFirst(long tokens, double backlogMillis, boolean waits) {
+		// Guards against long prompts that are all late: twenty arrive within 3 s, and if
+		// they are sent at once the engines process them concurrently, so all finish with
+		// the last.
+		busy(backlogMillis);
 		Placement placed = place(tokens);
 		Truth.assertThat(placed.waits()).isEqualTo(waits);
 		Truth.assertThat(placed.target().isPresent()).isEqualTo(!waits);
@@ -208,12 +215,13 @@
 	@ParameterizedTest
 	@CsvSource({ "250, 140000, false", "250, 182000, true", "1000, 182000, false", "1000, 350000, false",
 			"1000, 600000, true" })
-	void longPromptsWaitWhileTheyWouldHoldStreamsUp(int pause, long tokens, boolean waits) {
-		// Symptom: answers in time by their first event pause too long in the middle.
-		// Sequence: the mix turns to long prompts while short answers are written. Cause:
-		// the lane takes engines that still write, and a part lengthens all their pauses.
+	void longPromptsWaitWhileTheyWouldDelayStreams(int pause, long tokens, boolean waits) {
+		// Guards against long pauses in answers whose first event was in time: the mix
+		// turns to long prompts while short answers are generated, the long lane takes
+		// engines that still generate them, and each part of a prompt lengthens the
+		// pauses of all streams there.
 		for (int i = 0; i < 21; i++) {
-			this.loads.begin(id(i), 0, 6_000, true, pause).read();
+			this.loads.begin(id(i), 0, 6_000, true, pause).prefillDone();
 		}
 		Placement placed = place(tokens);
 		Truth.assertThat(placed.waits()).isEqualTo(waits);
@@ -224,23 +232,23 @@
 
 	@ParameterizedTest
 	@CsvSource({ "100, false", "1000, true" })
-	void whatMissedItsTargetIsReadByALaneThatIsAlmostIdle(double unread, boolean waits) {
-		// Symptom: a long prompt whose engine crashed gets its first event after six
-		// seconds, four of them kept at its daemon. Sequence: its target has passed, the
-		// lane reads a little of this and that. Cause: it waited for a lane that could
-		// read it about as soon as an idle one.
-		busy(unread);
+	void overduePromptsAreSentToAnAlmostIdleLane(double backlogMillis, boolean waits) {
+		// Guards against a long prompt whose first event comes only after six seconds,
+		// four of which it waits at its daemon: its engine has crashed, its target has
+		// passed, and it waits for an idle lane although a lightly loaded one could
+		// prefill it about as soon.
+		busy(backlogMillis);
 		Placement placed = this.placement.place(request(139_000, Duration.ofSeconds(4), Set.of()));
 		Truth.assertThat(placed.waits()).isEqualTo(waits);
 	}
 
 	@Test
-	void aVeryLongPromptWaitsForMoreThanTheOneIdleEngine() {
-		// Symptom: a manual of 600,000 tokens never gets its first event. Sequence: all
-		// engines but one write manuals. Cause: the one has room for any length and would
-		// read it alone, for thirty seconds.
+	void aVeryLongPromptWaitsForMoreThanOneIdleEngine() {
+		// Guards against a manual of 600,000 tokens that never gets its first event: all
+		// engines but one generate answers to manuals, and the idle one, which has room
+		// for any length, would take thirty seconds for it alone.
 		for (int i = 0; i < 20; i++) {
-			this.loads.begin(id(i), 0, 6_000, true, 1_000).read();
+			this.loads.begin(id(i), 0, 6_000, true, 1_000).prefillDone();
 		}
 		Truth.assertThat(place(600_000).reason()).isEqualTo("long, waits");
 	}
@@ -248,14 +256,12 @@
 	@ParameterizedTest
 	@CsvSource({ "372000, 1, 200000, 'long, no memory free'", "0, 11, 200000, 'long, all slots taken'",
 			"372000, 1, 1600000, 'first event predicted in'" })
-	void longPromptsWaitForMemoryAndSlotsWhileThereIsTime(long taken, int active, long tokens, String reason) {
-		// Symptom: giants are refused and never come back. Sequence: the engines of the
-		// lane are full of others' contexts for a second. Cause: they are refused at
-		// once,
-		// and callers come back only once.
+	void longPromptsWaitForMemoryAndSlotsWhileThereIsTime(long takenTokens, int active, long tokens, String reason) {
+		// Guards against refusing very large prompts while the memory of the lane's
+		// engines is taken for a second by other requests: callers retry only once.
 		for (int i = 0; i < 21; i++) {
 			for (int j = 0; j < active; j++) {
-				this.loads.begin(id(i), 0, taken, true, EndpointLoad.ANY_PAUSE);
+				this.loads.begin(id(i), 0, takenTokens, true, EndpointLoad.ANY_PAUSE);
 			}
 		}
 		Placement placed = place(tokens);
@@ -264,7 +270,7 @@
 	}
 
 	@Test
-	void whatWouldWaitForTooLongIsRefusedAtOnce() {
+	void requestsThatWouldWaitPastTheirDeadlineAreRefusedAtOnce() {
 		busy(1_000);
 		for (int i = 0; i < 60; i++) {
 			this.demands.waitBegan(NAME, 5_000);
@@ -275,7 +281,7 @@
 	}
 
 	@Test
-	void whatCannotBeReadInTimeIsRefusedAtOnce() {
+	void requestsThatCannotMeetTheirDeadlineAreRefusedAtOnce() {
 		busy(4_000);
 		Placement placed = place(5_000);
 		Truth.assertThat(placed.target().isPresent()).isFalse();
@@ -283,7 +289,7 @@
 	}
 
 	@Test
-	void failingEnginesComeLast() {
+	void failingEnginesAreChosenLast() {
 		for (int i = 0; i < 20; i++) {
 			this.health.unreachable(id(i), "connect");
 		}
@@ -291,7 +297,7 @@
 	}
 
 	@Test
-	void anEngineThatWasTriedIsNotAskedAgain() {
+	void anEngineThatWasTriedIsNotChosenAgain() {
 		Set<EndpointStart> all = new HashSet<>();
 		for (int i = 0; i < 21; i++) {
 			all.add(id(i));
@@ -306,9 +312,9 @@
 		}
 	}
 
-	private void busy(double unread) {
+	private void busy(double backlogMillis) {
 		for (int i = 0; i < 21; i++) {
-			this.loads.begin(id(i), unread, 0, false, EndpointLoad.ANY_PAUSE);
+			this.loads.begin(id(i), backlogMillis, 0, false, EndpointLoad.ANY_PAUSE);
 		}
 	}
 
@@ -332,7 +338,7 @@
 	}
 
 	/**
-	 * Limits that the test says are used up.
+	 * Rate limits that are exhausted for the engines chosen by the test.
 	 */
 	private final class Limits implements EndpointLimits {
 
