--- a/standins/src/test/java/org/bramleyscale/standins/fleet/BookingCaller.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/BookingCaller.java
@@ -17,14 +17,14 @@
 import org.bramleyscale.internal.request.PlainSink;
 
 /**
- * A caller that makes one booking and keeps its id while it is in doubt whether the
- * booking was sent.
+ * A caller that makes one booking and reuses its request id while it is unknown whether
+ * the booking was sent.
  *
  * <p>
- * Now and then the id carries the prefix of another entry than the one called. Takes a
- * new id only when told that the old one did not run, and checks that there is one
- * booking at most, that an id told not to have run was not booked, and that a confirmed
- * one was. Confined to the test's thread.
+ * Some ids carry the prefix of another entry than the one called. The caller takes a new
+ * id only after a failure which says that the old one did not run. It checks that there
+ * is at most one booking, that no id reported as not run was booked, and that a confirmed
+ * id was booked. Confined to the test's thread.
  */
 final class BookingCaller extends ScriptedCaller {
 
@@ -32,76 +32,76 @@
 
 	private static final int CREATED = 201;
 
-	private final Set<RequestId> used = new HashSet<>();
+	private final Set<RequestId> usedIds = new HashSet<>();
 
-	private final Set<RequestId> notRun = new HashSet<>();
+	private final Set<RequestId> notRunIds = new HashSet<>();
 
 	private RequestId id;
 
-	private boolean keepId;
+	private boolean reuseId;
 
 	private boolean confirmed;
 
-	BookingCaller(CallerWorld world, int number) {
-		super(world, number, LIMIT);
+	BookingCaller(CallerContext context, int number) {
+		super(context, number, LIMIT);
 	}
 
 	@Override
 	FleetDaemon.Call send(FleetDaemon daemon, AddressAnswer.Entry entry, int attempt) {
-		if (!this.keepId) {
+		if (!this.reuseId) {
 			List<AddressAnswer.Entry> entries = addresses().entries(account());
-			boolean other = number() % 3 == 0;
-			this.id = newId(other ? entries.get(entries.size() - 1) : entry);
-			this.used.add(this.id);
+			boolean usesOtherPrefix = number() % 3 == 0;
+			this.id = newId(usesOtherPrefix ? entries.get(entries.size() - 1) : entry);
+			this.usedIds.add(this.id);
 		}
 		Sink sink = new Sink(attempt);
 		PlainRequest request = new PlainRequest(Optional.of(this.id), account(), FleetDocuments.BOOKING, "POST",
 				"/bookings", Map.of(), ("booking " + number()).getBytes(StandardCharsets.UTF_8), false, timeLeft());
-		return daemon.call((requests) -> requests.call(request, sink), sink::failed, () -> brokenAt(attempt));
+		return daemon.call((requests) -> requests.call(request, sink), sink::failed, () -> disconnected(attempt));
 	}
 
 	@Override
-	void broken() {
-		this.keepId = true;
-		addresses().doubt(account());
+	void onDisconnect() {
+		this.reuseId = true;
+		addresses().invalidate(account());
 		retry(Duration.ZERO);
 	}
 
 	@Override
-	void told(ServingException failure) {
+	void onFailure(ServingException failure) {
 		if (failure.ran() != Ran.NO) {
 			end(failure.code() + " ran " + failure.ran());
 			return;
 		}
-		this.notRun.add(this.id);
-		this.keepId = false;
+		this.notRunIds.add(this.id);
+		this.reuseId = false;
 		retry(failure.retryAfter().orElse(Duration.ZERO));
 	}
 
 	@Override
 	void check() {
-		int times = this.used.stream().mapToInt(this::executions).sum();
+		int times = this.usedIds.stream().mapToInt(this::executions).sum();
 		if (times > 1) {
-			violations().add(this + " booked " + times + " times under " + this.used);
+			violations().add(this + " made " + times + " bookings with ids " + this.usedIds);
 		}
-		this.notRun.stream()
-			.filter((each) -> executions(each) > 0)
-			.forEach((each) -> violations().add(this + " was told that " + each + " did not run, but it did"));
+		this.notRunIds.stream()
+			.filter((usedId) -> executions(usedId) > 0)
+			.forEach((usedId) -> violations().add(this + " got " + usedId + " reported as not run, but it ran"));
 		if (this.confirmed && executions(this.id) != 1) {
-			violations().add(this + " was told that " + this.id + " is booked, but it isn't");
+			violations().add(this + " got " + this.id + " confirmed, but it is not booked exactly once");
 		}
 	}
 
-	private int executions(RequestId each) {
+	private int executions(RequestId usedId) {
 		return fleet().endpoints()
 			.serviceNames()
 			.stream()
-			.mapToInt((name) -> fleet().endpoints().service(name).executions().getOrDefault(each.toString(), 0))
+			.mapToInt((name) -> fleet().endpoints().service(name).executions().getOrDefault(usedId.toString(), 0))
 			.sum();
 	}
 
 	/**
-	 * Reads one attempt.
+	 * Receives the events of one attempt.
 	 */
 	private final class Sink implements PlainSink {
 
@@ -120,7 +120,7 @@
 		@Override
 		public void completed(ServiceReply reply) {
 			requireOpen();
-			if (answered(this.attempt)) {
+			if (completeAttempt(this.attempt)) {
 				BookingCaller.this.confirmed = reply.status() == CREATED;
 				end("status " + reply.status());
 			}
@@ -134,7 +134,7 @@
 
 		private void requireOpen() {
 			if (this.ended) {
-				violations().add(BookingCaller.this + " got a second end");
+				violations().add(BookingCaller.this + " received a second end of an attempt");
 			}
 			this.ended = true;
 		}
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/ConfigurationCheck.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/ConfigurationCheck.java
@@ -9,15 +9,15 @@
 import org.bramleyscale.Incarnation;
 
 /**
- * Checks that no daemon's version steps back and that an accepted change is soon in force
- * at each daemon that admits requests.
+ * Checks that the configuration version of a daemon never decreases, and that an accepted
+ * change is soon in force at each daemon that admits requests.
  *
  * <p>
  * Confined to the test's thread.
  */
 final class ConfigurationCheck {
 
-	private static final Duration LOOK = Duration.ofMillis(50);
+	private static final Duration CHECK_INTERVAL = Duration.ofMillis(50);
 
 	private static final Duration IN_FORCE_WITHIN = Duration.ofSeconds(5);
 
@@ -25,35 +25,35 @@
 
 	private final Violations violations;
 
-	private final Map<Incarnation, Long> seen = new HashMap<>();
+	private final Map<Incarnation, Long> lastVersions = new HashMap<>();
 
 	private final List<Accepted> accepted = new ArrayList<>();
 
 	ConfigurationCheck(Fleet fleet, Violations violations) {
 		this.fleet = fleet;
 		this.violations = violations;
-		fleet.scheduler().repeat(LOOK, this::look);
+		fleet.scheduler().repeat(CHECK_INTERVAL, this::inspect);
 	}
 
 	void accepted(long version) {
 		this.accepted.add(new Accepted(version, this.fleet.scheduler().nanos()));
 	}
 
-	private void look() {
+	private void inspect() {
 		long now = this.fleet.scheduler().nanos();
 		long required = this.accepted.stream()
-			.filter((change) -> now - change.at >= IN_FORCE_WITHIN.toNanos())
+			.filter((change) -> now - change.acceptedAt >= IN_FORCE_WITHIN.toNanos())
 			.mapToLong(Accepted::version)
 			.max()
 			.orElse(0);
-		this.fleet.daemons().stream().filter(FleetDaemon::alive).forEach((daemon) -> look(daemon, required));
+		this.fleet.daemons().stream().filter(FleetDaemon::alive).forEach((daemon) -> inspect(daemon, required));
 	}
 
-	private void look(FleetDaemon daemon, long required) {
+	private void inspect(FleetDaemon daemon, long required) {
 		long version = daemon.slices().configuration().current().version();
-		Long before = this.seen.put(daemon.incarnation(), version);
-		if (before != null && version < before) {
-			this.violations.add(daemon + " stepped back from version " + before + " to " + version);
+		Long previous = this.lastVersions.put(daemon.incarnation(), version);
+		if (previous != null && version < previous) {
+			this.violations.add(daemon + " decreased its version from " + previous + " to " + version);
 		}
 		if (version < required && daemon.admitting()) {
 			this.violations.add(daemon + " admits with version " + version + " though " + required + " was accepted");
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	 * Checks that what was accepted last is held everywhere.
+	 * Checks that every daemon has the last accepted version.
 	 */
 	void check() {
 		long required = this.accepted.stream().mapToLong(Accepted::version).max().orElse(0);
@@ -74,7 +74,7 @@
 	/**
 	 * An accepted change.
 	 */
-	private record Accepted(long version, long at) {
+	private record Accepted(long version, long acceptedAt) {
 	}
 
 }
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/FaultPairTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/FaultPairTests.java
@@ -14,33 +14,31 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Every fault alone and every pair of faults, struck at a fleet of whole daemons under
- * load.
+ * Injects every single fault and every pair of faults into a fleet of complete daemons
+ * under load.
  */
 class FaultPairTests {
 
-	// The log of a thousand intended failures would hide what a failing run says.
-	private static final Logger LOGS = Logger.getLogger("org.bramleyscale");
+	// The log of a thousand injected failures would hide the message of a failing run.
+	private static final Logger LOGGER = Logger.getLogger("org.bramleyscale");
 
 	@BeforeAll
-	static void quiet() {
-		LOGS.setLevel(Level.OFF);
+	static void disableLogging() {
+		LOGGER.setLevel(Level.OFF);
 	}
 
 	@AfterAll
-	static void loud() {
-		LOGS.setLevel(null);
+	static void restoreLogging() {
+		LOGGER.setLevel(null);
 	}
 
-	// Symptom: an operator's or caller's trust breaks when two things fail at once,
-	// though
-	// each alone is survived. Sequence: two faults begin at random times within 5 s of
-	// each other while callers stream, book and send prompts larger than an engine.
-	// Cause, if this fails: the message names the property and the moment; the seed
-	// repeats the run exactly.
+	// Guards against two faults that together break an invariant although each alone does
+	// not: two faults begin at random times within 5 s of each other while callers
+	// stream, book and send prompts larger than an engine. The message names the
+	// invariant and the time; the seed reproduces the run exactly.
 	@ParameterizedTest(name = "{0}, seed {1}")
 	@MethodSource("runs")
-	void whatMustAlwaysHoldHolds(List<FleetFault> faults, long seed) {
+	void invariantsHoldUnderSingleFaultsAndPairs(List<FleetFault> faults, long seed) {
 		List<String> violations = new FaultRun(seed).run(faults);
 		Truth.assertWithMessage("violations under %s with seed %s", faults, seed).that(violations).isEmpty();
 	}
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/FaultScene.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/FaultTargets.java
@@ -18,16 +18,17 @@
 import org.bramleyscale.internal.time.Cancellable;
 
 /**
- * Where faults strike, and the watch over endpoints that leave.
+ * Selects the targets of faults, and checks that endpoints that are leaving get no new
+ * work.
  *
  * <p>
  * Confined to the test's thread.
  */
-final class FaultScene {
+final class FaultTargets {
 
-	private static final Duration LOOK = Duration.ofMillis(50);
+	private static final Duration CHECK_INTERVAL = Duration.ofMillis(50);
 
-	private static final Duration NO_WORK_AFTER = Duration.ofSeconds(3);
+	private static final Duration LEAVING_GRACE = Duration.ofSeconds(3);
 
 	private final Fleet fleet;
 
@@ -39,7 +40,7 @@
 
 	private final Map<EndpointId, Cancellable> watches = new HashMap<>();
 
-	FaultScene(Fleet fleet, OperatorScript operator, Violations violations) {
+	FaultTargets(Fleet fleet, OperatorScript operator, Violations violations) {
 		this.fleet = fleet;
 		this.operator = operator;
 		this.violations = violations;
@@ -54,9 +55,9 @@
 	}
 
 	/**
-	 * Picks an engine, the busiest as often as any, since a fault at an idle one shows
-	 * little.
-	 * @param random the source of chance
+	 * Selects an engine: in half of the cases the busiest one, since a fault at an idle
+	 * engine reveals little, and otherwise a random one.
+	 * @param random the source of randomness
 	 * @return the engine
 	 */
 	EndpointId engine(RandomGenerator random) {
@@ -66,9 +67,9 @@
 	}
 
 	/**
-	 * Picks a plain service in the same way.
-	 * @param random the source of chance
-	 * @return the service's instance
+	 * Selects an instance of a plain service in the same way.
+	 * @param random the source of randomness
+	 * @return the instance
 	 */
 	EndpointId service(RandomGenerator random) {
 		return pick(this.fleet.endpoints().serviceNames(),
@@ -81,26 +82,26 @@
 	}
 
 	/**
-	 * Forbids new work at an endpoint from 3 s after the first daemon knows that it
-	 * leaves.
+	 * Forbids new work at an endpoint from 3 s after the first daemon knows that it is
+	 * leaving.
 	 * @param endpoint the endpoint
 	 * @param known whether a daemon knows
 	 */
 	void leaving(EndpointId endpoint, Predicate<FleetDaemon> known) {
 		this.leaving.add(endpoint);
-		this.watches.put(endpoint, this.fleet.scheduler().repeat(LOOK, () -> {
-			if (this.fleet.daemons().stream().filter(FleetDaemon::working).anyMatch(known)) {
+		this.watches.put(endpoint, this.fleet.scheduler().repeat(CHECK_INTERVAL, () -> {
+			if (this.fleet.daemons().stream().filter(FleetDaemon::running).anyMatch(known)) {
 				this.watches.remove(endpoint).cancel();
-				this.violations.noWorkAfter(endpoint, this.fleet.scheduler().nanos() + NO_WORK_AFTER.toNanos());
+				this.violations.noWorkAfter(endpoint, this.fleet.scheduler().nanos() + LEAVING_GRACE.toNanos());
 			}
 		}));
 	}
 
 	/**
-	 * Allows work at an endpoint again.
+	 * Permits work at an endpoint again.
 	 * @param endpoint the endpoint
 	 */
-	void staying(EndpointId endpoint) {
+	void notLeaving(EndpointId endpoint) {
 		this.leaving.remove(endpoint);
 		Optional.ofNullable(this.watches.remove(endpoint)).ifPresent(Cancellable::cancel);
 		this.violations.noWorkAfter(endpoint, Long.MAX_VALUE);
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/FaultTrials.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/FaultTrials.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * Prints, for each fault, the outcomes of requests, the longest time that memory stayed
- * lost and what must not have happened. Takes the number of seeds; run by hand.
+ * Prints, for each fault, the outcomes of requests, the longest time for which memory was
+ * retained, and the violated invariants. Takes the number of seeds; run by hand.
  */
 public final class FaultTrials {
 
@@ -23,19 +23,20 @@
 	}
 
 	private static void row(String name, List<FleetFault> faults, int seeds) {
-		Duration longest = Duration.ZERO;
+		Duration longestRetention = Duration.ZERO;
 		Map<String, Integer> outcomes = new TreeMap<>();
-		long began = System.nanoTime();
+		long startedAt = System.nanoTime();
 		for (int seed = 1; seed <= seeds; seed++) {
 			FaultRun run = new FaultRun(seed);
 			List<String> violations = run.run(faults);
-			longest = (run.memoryLost().compareTo(longest) > 0) ? run.memoryLost() : longest;
+			longestRetention = (run.longestRetention().compareTo(longestRetention) > 0) ? run.longestRetention()
+					: longestRetention;
 			run.outcomes().forEach((outcome, count) -> outcomes.merge(outcome, count, Integer::sum));
 			int number = seed;
 			violations.forEach((violation) -> System.out.println("  seed " + number + " " + violation));
 		}
-		System.out.printf("%-26s memory lost for at most %s; %s; %d ms a run%n", name, longest, outcomes,
-				(System.nanoTime() - began) / 1_000_000 / seeds);
+		System.out.printf("%-26s memory retained for at most %s; %s; %d ms a run%n", name, longestRetention, outcomes,
+				(System.nanoTime() - startedAt) / 1_000_000 / seeds);
 	}
 
 }
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/Fleet.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/Fleet.java
@@ -41,15 +41,15 @@
 import org.bramleyscale.standins.platform.PlatformService;
 
 /**
- * Five daemons, four engines and two plain services in three data centres, with switches
- * for what can fail.
+ * Five daemons, four engines and two plain services in three data centres, with controls
+ * to inject faults.
  *
  * <p>
  * All share one manual clock. Confined to the test's thread.
  */
 final class Fleet {
 
-	static final Duration ADDRESSES_KEPT = Duration.ofSeconds(2);
+	static final Duration ADDRESS_TTL = Duration.ofSeconds(2);
 
 	static final EngineParameters ENGINE = EngineParameters.SMALL.withRoom(8, 20_000)
 		.withLags(Duration.ofMillis(200), Duration.ofMillis(500), 50);
@@ -82,21 +82,21 @@
 
 	private final InMemoryEndpoints endpoints;
 
-	private final Map<EndpointId, DataCentre> sites = new LinkedHashMap<>();
+	private final Map<EndpointId, DataCentre> dataCentres = new LinkedHashMap<>();
 
 	private final Map<VmId, FleetDaemon> daemons = new LinkedHashMap<>();
 
 	private final Map<VmId, DataCentre> vms = new LinkedHashMap<>();
 
-	private final Set<DataCentre> cut = new HashSet<>();
+	private final Set<DataCentre> isolated = new HashSet<>();
 
 	private final Consumer<String> violations;
 
 	/**
-	 * Starts a fleet and waits until it serves.
-	 * @param seed the source of all chance
-	 * @param observer hears what endpoints do
-	 * @param violations takes what must not happen
+	 * Starts a fleet and advances the clock until it serves requests.
+	 * @param seed the seed of all randomness
+	 * @param observer is notified of the work of endpoints
+	 * @param violations collects violated invariants
 	 */
 	Fleet(long seed, InMemoryEndpoints.Observer observer, Consumer<String> violations) {
 		this.random = new SplittableRandom(seed);
@@ -107,8 +107,8 @@
 			this.vms.put(new VmId("entry-" + (i + 1)),
 					FleetDocuments.DATA_CENTRES.get(i % FleetDocuments.DATA_CENTRES.size()));
 		}
-		this.vms
-			.forEach((vm, site) -> this.platform.state().putVm(new VmRecord(vm, site, address(vm), web(vm), false)));
+		this.vms.forEach((vm, dataCentre) -> this.platform.state()
+			.putVm(new VmRecord(vm, dataCentre, peerAddress(vm), httpAddress(vm), false)));
 		this.vms.keySet().forEach(this::startDaemon);
 		this.scheduler.advance(Duration.ofSeconds(2));
 		configure();
@@ -117,7 +117,7 @@
 
 	private void startEndpoints() {
 		for (EndpointEntry entry : FleetDocuments.endpoints()) {
-			this.sites.put(entry.name(), entry.dataCentre());
+			this.dataCentres.put(entry.name(), entry.dataCentre());
 			if (entry.models().isEmpty()) {
 				this.endpoints.startService(entry.name(), BOOKING_TIME, BOOKING_SLOTS);
 			}
@@ -153,10 +153,10 @@
 		return List.copyOf(this.daemons.values());
 	}
 
-	Optional<FleetDaemon> at(String httpAddress) {
+	Optional<FleetDaemon> daemonAt(String httpAddress) {
 		return this.daemons.entrySet()
 			.stream()
-			.filter((entry) -> web(entry.getKey()).equals(httpAddress) && entry.getValue().alive())
+			.filter((entry) -> httpAddress(entry.getKey()).equals(httpAddress) && entry.getValue().alive())
 			.map(Map.Entry::getValue)
 			.findFirst();
 	}
@@ -166,7 +166,7 @@
 	}
 
 	/**
-	 * KV memory in use and held on engines that run.
+	 * KV-cache memory in use and reserved on running engines.
 	 * @return tokens
 	 */
 	long kvUsed() {
@@ -178,24 +178,24 @@
 	}
 
 	private void startDaemon(VmId vm) {
-		PausableScheduler own = new PausableScheduler(this.scheduler);
+		PausableScheduler daemonScheduler = new PausableScheduler(this.scheduler);
 		Incarnation self = new Incarnation(vm, this.scheduler.wallTime().toEpochMilli());
-		InMemoryObjectStore store = new InMemoryObjectStore(own, this.platform, PLATFORM_TIMEOUT);
-		FleetDaemon daemon = new FleetDaemon(this.scheduler, own, self, store);
-		DataCentre site = this.vms.get(vm);
-		InMemoryEngineClient engines = new InMemoryEngineClient(own, this.endpoints,
-				(endpoint) -> joined(site, this.sites.get(endpoint)));
-		PeerIdentity identity = new PeerIdentity(self, site, address(vm), web(vm));
-		NodePorts ports = new NodePorts(identity, own, this.random.split(), this.hub.join(self), store, engines,
-				new MetricRegistry(), List.of(), (complete) -> left(daemon, complete));
+		InMemoryObjectStore store = new InMemoryObjectStore(daemonScheduler, this.platform, PLATFORM_TIMEOUT);
+		FleetDaemon daemon = new FleetDaemon(this.scheduler, daemonScheduler, self, store);
+		DataCentre dataCentre = this.vms.get(vm);
+		InMemoryEngineClient engines = new InMemoryEngineClient(daemonScheduler, this.endpoints,
+				(endpoint) -> connected(dataCentre, this.dataCentres.get(endpoint)));
+		PeerIdentity identity = new PeerIdentity(self, dataCentre, peerAddress(vm), httpAddress(vm));
+		NodePorts ports = new NodePorts(identity, daemonScheduler, this.random.split(), this.hub.join(self), store,
+				engines, new MetricRegistry(), List.of(), (complete) -> onDaemonStopped(daemon, complete));
 		this.daemons.put(vm, daemon);
 		daemon.run(new NodeSlices(ports, settings(vm)));
-		applyCuts();
+		applyPartitions();
 	}
 
-	private void left(FleetDaemon daemon, boolean complete) {
+	private void onDaemonStopped(FleetDaemon daemon, boolean complete) {
 		if (!complete || daemon.openCalls() > 0) {
-			this.violations.accept("the planned stop of " + daemon + " cut " + daemon.openCalls() + " calls");
+			this.violations.accept("the planned stop of " + daemon + " interrupted " + daemon.openCalls() + " calls");
 		}
 		kill(daemon);
 		VmId vm = daemon.incarnation().vm();
@@ -203,8 +203,8 @@
 	}
 
 	/**
-	 * Starts a new incarnation if none runs.
-	 * @param vm where
+	 * Starts a new incarnation if none is running.
+	 * @param vm the daemon's VM
 	 */
 	void restart(VmId vm) {
 		if (!this.daemons.get(vm).alive()) {
@@ -234,46 +234,47 @@
 		}
 	}
 
-	void silence(VmId from, VmId to) {
+	void dropMessages(VmId from, VmId to) {
 		this.hub.silence(from, to);
 	}
 
 	void heal(VmId left, VmId right) {
 		this.hub.heal(left, right);
-		applyCuts();
+		applyPartitions();
 	}
 
 	/**
-	 * Cuts a data centre off from the others and from the platform, or joins it again.
-	 * @param site the data centre
-	 * @param off whether it is cut off
+	 * Partitions a data centre from the others and from the platform, or ends the
+	 * partition.
+	 * @param dataCentre the data centre
+	 * @param partitioned whether it is partitioned
 	 */
-	void cutOff(DataCentre site, boolean off) {
-		if (off) {
-			this.cut.add(site);
+	void isolate(DataCentre dataCentre, boolean partitioned) {
+		if (partitioned) {
+			this.isolated.add(dataCentre);
 		}
 		else {
-			this.cut.remove(site);
+			this.isolated.remove(dataCentre);
 			this.vms.keySet()
 				.forEach((left) -> this.vms.keySet()
 					.stream()
 					.filter((right) -> !left.equals(right))
 					.forEach((right) -> this.hub.heal(left, right)));
 		}
-		applyCuts();
+		applyPartitions();
 	}
 
-	private void applyCuts() {
-		this.vms.forEach((left, leftSite) -> this.vms.forEach((right, rightSite) -> {
-			if (!joined(leftSite, rightSite)) {
+	private void applyPartitions() {
+		this.vms.forEach((left, leftDataCentre) -> this.vms.forEach((right, rightDataCentre) -> {
+			if (!connected(leftDataCentre, rightDataCentre)) {
 				this.hub.cut(left, right);
 			}
 		}));
-		this.daemons.forEach((vm, daemon) -> daemon.store().cutOff(this.cut.contains(this.vms.get(vm))));
+		this.daemons.forEach((vm, daemon) -> daemon.store().cutOff(this.isolated.contains(this.vms.get(vm))));
 	}
 
-	private boolean joined(DataCentre left, DataCentre right) {
-		return left.equals(right) || !(this.cut.contains(left) || this.cut.contains(right));
+	private boolean connected(DataCentre left, DataCentre right) {
+		return left.equals(right) || !(this.isolated.contains(left) || this.isolated.contains(right));
 	}
 
 	void platformFault(PlatformFault fault, boolean on) {
@@ -292,12 +293,12 @@
 			return Settings.builder()
 				.set(SettingKey.VM, vm)
 				.set(SettingKey.DATA_CENTRE, this.vms.get(vm))
-				.set(SettingKey.HTTP_ADDRESS, HostAndPort.fromString(web(vm)))
-				.set(SettingKey.PEER_ADDRESS, HostAndPort.fromString(address(vm)))
+				.set(SettingKey.HTTP_ADDRESS, HostAndPort.fromString(httpAddress(vm)))
+				.set(SettingKey.PEER_ADDRESS, HostAndPort.fromString(peerAddress(vm)))
 				.setText(SettingKey.PLATFORM_URL, "http://10.0.0.1:80")
 				.set(SettingKey.PEER_KEY, "key-of-the-daemons-of-the-fleet")
 				.set(SettingKey.OPERATOR_KEY_HASH, "0".repeat(64))
-				.set(SettingKey.ADDRESS_KEEP_FOR, ADDRESSES_KEPT)
+				.set(SettingKey.ADDRESS_KEEP_FOR, ADDRESS_TTL)
 				.set(SettingKey.STREAM_SILENCE, Duration.ofSeconds(1))
 				.build();
 		}
@@ -306,11 +307,11 @@
 		}
 	}
 
-	private static String address(VmId vm) {
+	private static String peerAddress(VmId vm) {
 		return "10.0.3." + vm.value().substring("entry-".length()) + ":7000";
 	}
 
-	private static String web(VmId vm) {
+	private static String httpAddress(VmId vm) {
 		return "10.0.3." + vm.value().substring("entry-".length()) + ":80";
 	}
 
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/FleetDaemon.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/FleetDaemon.java
@@ -21,17 +21,17 @@
 import org.bramleyscale.standins.platform.PausableScheduler;
 
 /**
- * One start of one daemon, and the calls that callers have open to it.
+ * One incarnation of a daemon, with the open connections of its callers.
  *
  * <p>
- * Takes the part of the HTTP server: refuses while the configuration isn't fresh, and
- * tells callers when their connection breaks. Confined to the test's thread.
+ * Acts as the HTTP server: refuses calls while the configuration is not fresh, and
+ * notifies callers when their connection breaks. Confined to the test's thread.
  */
 final class FleetDaemon {
 
 	private static final Duration CALLER_LATENCY = Duration.ofMillis(3);
 
-	private final Scheduler shared;
+	private final Scheduler fleetScheduler;
 
 	private final PausableScheduler scheduler;
 
@@ -39,7 +39,7 @@
 
 	private final InMemoryObjectStore store;
 
-	private final Set<Call> open = new LinkedHashSet<>();
+	private final Set<Call> openConnections = new LinkedHashSet<>();
 
 	private NodeSlices slices;
 
@@ -49,8 +49,9 @@
 
 	private long resumedAt;
 
-	FleetDaemon(Scheduler shared, PausableScheduler scheduler, Incarnation incarnation, InMemoryObjectStore store) {
-		this.shared = shared;
+	FleetDaemon(Scheduler fleetScheduler, PausableScheduler scheduler, Incarnation incarnation,
+			InMemoryObjectStore store) {
+		this.fleetScheduler = fleetScheduler;
 		this.scheduler = scheduler;
 		this.incarnation = incarnation;
 		this.store = store;
@@ -77,24 +78,24 @@
 		return this.alive;
 	}
 
-	boolean working() {
+	boolean running() {
 		return this.alive && !this.paused;
 	}
 
 	boolean admitting() {
-		return working() && this.slices.configuration().fresh();
+		return running() && this.slices.configuration().fresh();
 	}
 
 	/**
-	 * When the daemon was last paused.
-	 * @return the time at which it went on, the longest time if it is paused now
+	 * The end of the daemon's last pause.
+	 * @return the time at which it resumed, or the maximum value if it is paused now
 	 */
 	long resumedAt() {
 		return this.paused ? Long.MAX_VALUE : this.resumedAt;
 	}
 
 	int openCalls() {
-		return this.open.size();
+		return this.openConnections.size();
 	}
 
 	void pause() {
@@ -104,31 +105,31 @@
 
 	void resume() {
 		this.paused = false;
-		this.resumedAt = this.shared.nanos();
+		this.resumedAt = this.fleetScheduler.nanos();
 		this.scheduler.resume();
 	}
 
 	void kill() {
 		this.alive = false;
 		this.scheduler.end();
-		List<Call> cut = new ArrayList<>(this.open);
-		this.open.clear();
-		cut.forEach((call) -> this.shared.schedule(CALLER_LATENCY, call.broken));
+		List<Call> disconnected = new ArrayList<>(this.openConnections);
+		this.openConnections.clear();
+		disconnected.forEach((call) -> this.fleetScheduler.schedule(CALLER_LATENCY, call.onDisconnect));
 	}
 
 	/**
-	 * Opens a caller's connection and hands over its call.
+	 * Opens a connection of a caller and passes on its call.
 	 * @param work starts the call
-	 * @param refused takes a refusal at the door
-	 * @param broken called when the connection breaks
+	 * @param refused receives a refusal by the server
+	 * @param onDisconnect called when the connection breaks
 	 * @return the connection
 	 */
-	Call call(Function<RequestService, Cancellable> work, Consumer<ServingException> refused, Runnable broken) {
-		Call call = new Call(broken);
-		this.open.add(call);
+	Call call(Function<RequestService, Cancellable> work, Consumer<ServingException> refused, Runnable onDisconnect) {
+		Call call = new Call(onDisconnect);
+		this.openConnections.add(call);
 		this.scheduler.schedule(CALLER_LATENCY, () -> {
 			if (!this.slices.configuration().fresh()) {
-				this.open.remove(call);
+				this.openConnections.remove(call);
 				refused.accept(new ServingException(ErrorCode.NOT_READY, Ran.NO, Step.ADMIT, "self",
 						"the configuration is not fresh", Duration.ofSeconds(1)));
 				return;
@@ -148,27 +149,27 @@
 	 */
 	final class Call {
 
-		private final Runnable broken;
+		private final Runnable onDisconnect;
 
 		private Cancellable handle = () -> {
 		};
 
-		private Call(Runnable broken) {
-			this.broken = broken;
+		private Call(Runnable onDisconnect) {
+			this.onDisconnect = onDisconnect;
 		}
 
 		/**
-		 * Takes note that the call was answered.
+		 * Records that the call was answered.
 		 */
-		void answered() {
-			FleetDaemon.this.open.remove(this);
+		void markAnswered() {
+			FleetDaemon.this.openConnections.remove(this);
 		}
 
 		/**
-		 * Ends the connection from the caller's side.
+		 * Closes the connection from the caller's side.
 		 */
-		void hangUp() {
-			if (FleetDaemon.this.open.remove(this)) {
+		void disconnect() {
+			if (FleetDaemon.this.openConnections.remove(this)) {
 				FleetDaemon.this.scheduler.schedule(CALLER_LATENCY, () -> this.handle.cancel());
 			}
 		}
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/FleetDocuments.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/FleetDocuments.java
@@ -36,7 +36,7 @@
 	static final List<DataCentre> DATA_CENTRES = List.of(new DataCentre("shah-alam"), new DataCentre("rawang"),
 			new DataCentre("semenyih"));
 
-	private static final List<DataCentre> ENGINE_SITES = List.of(DATA_CENTRES.get(0), DATA_CENTRES.get(0),
+	private static final List<DataCentre> ENGINE_DATA_CENTRES = List.of(DATA_CENTRES.get(0), DATA_CENTRES.get(0),
 			DATA_CENTRES.get(1), DATA_CENTRES.get(2));
 
 	private static final int SERVICES = 2;
@@ -58,8 +58,8 @@
 
 	static List<EndpointEntry> endpoints() {
 		List<EndpointEntry> all = new ArrayList<>();
-		for (int i = 0; i < ENGINE_SITES.size(); i++) {
-			all.add(new EndpointEntry(new EndpointId("engine-" + (i + 1)), ASSIST, ENGINE_SITES.get(i),
+		for (int i = 0; i < ENGINE_DATA_CENTRES.size(); i++) {
+			all.add(new EndpointEntry(new EndpointId("engine-" + (i + 1)), ASSIST, ENGINE_DATA_CENTRES.get(i),
 					"10.0.1." + (i + 1) + ":80", List.of(MODEL), true, false));
 		}
 		for (int i = 0; i < SERVICES; i++) {
@@ -70,13 +70,14 @@
 	}
 
 	/**
-	 * The register with one endpoint marked as leaving or no longer so.
+	 * Returns the register with one endpoint marked as leaving, or with that mark
+	 * removed.
 	 * @param register the register
 	 * @param name the endpoint
 	 * @param leaving the mark
 	 * @return the new register
 	 */
-	static Register marked(Register register, EndpointId name, boolean leaving) {
+	static Register withLeaving(Register register, EndpointId name, boolean leaving) {
 		List<EndpointEntry> endpoints = register.endpoints()
 			.stream()
 			.map((entry) -> entry.name().equals(name) ? new EndpointEntry(name, entry.service(), entry.dataCentre(),
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/GenerationCaller.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/GenerationCaller.java
@@ -16,12 +16,12 @@
 import org.bramleyscale.standins.engine.ExpectedAnswer;
 
 /**
- * A caller that streams a generated answer, resumes it where the connection broke, and
- * begins anew where it can't be resumed.
+ * A caller that streams a generated answer, resumes it after a disconnect, and starts
+ * again if it can't be resumed.
  *
  * <p>
- * Checks that the answer is whole and its own, and that a request told not to have run
- * made no token. Confined to the test's thread.
+ * Checks that the answer is complete and belongs to its prompt, and that a request
+ * reported as not run generated no token. Confined to the test's thread.
  */
 final class GenerationCaller extends ScriptedCaller {
 
@@ -29,7 +29,7 @@
 
 	private final int answerTokens;
 
-	private final Set<RequestId> notRun = new HashSet<>();
+	private final Set<RequestId> notRunIds = new HashSet<>();
 
 	private final StringBuilder text = new StringBuilder();
 
@@ -39,8 +39,8 @@
 
 	private long offset;
 
-	GenerationCaller(CallerWorld world, int number, PromptSize size) {
-		super(world, number, size.limit());
+	GenerationCaller(CallerContext context, int number, PromptSize size) {
+		super(context, number, size.limit());
 		this.prompt = "question " + number + " " + "abc ".repeat(size.tokens());
 		this.answerTokens = size.answerTokens();
 	}
@@ -51,33 +51,33 @@
 		if (this.resuming) {
 			long from = this.offset;
 			return daemon.call((requests) -> requests.resume(this.id, account(), from, sink), sink::failed,
-					() -> brokenAt(attempt));
+					() -> disconnected(attempt));
 		}
-		Optional.ofNullable(this.id).ifPresent(memory()::over);
+		Optional.ofNullable(this.id).ifPresent(memory()::finished);
 		this.id = newId(entry);
 		this.offset = 0;
 		this.text.setLength(0);
 		GenerateRequest request = new GenerateRequest(Optional.of(this.id), account(), FleetDocuments.ASSIST,
 				FleetDocuments.MODEL, this.prompt, this.answerTokens, true, timeLeft());
-		return daemon.call((requests) -> requests.generate(request, sink), sink::failed, () -> brokenAt(attempt));
+		return daemon.call((requests) -> requests.generate(request, sink), sink::failed, () -> disconnected(attempt));
 	}
 
 	@Override
-	void broken() {
+	void onDisconnect() {
 		this.resuming = true;
-		addresses().doubt(account());
+		addresses().invalidate(account());
 		retry(Duration.ZERO);
 	}
 
 	@Override
-	void told(ServingException failure) {
+	void onFailure(ServingException failure) {
 		boolean lost = failure.ran() == Ran.UNKNOWN || failure.code() == ErrorCode.UNKNOWN_REQUEST;
 		if (this.resuming && failure.ran() == Ran.NO && failure.code() == ErrorCode.NOT_READY) {
 			retry(failure.retryAfter().orElse(Duration.ZERO));
 		}
 		else if (failure.ran() == Ran.NO || (this.resuming && lost)) {
 			if (!this.resuming) {
-				this.notRun.add(this.id);
+				this.notRunIds.add(this.id);
 			}
 			this.resuming = false;
 			retry(failure.retryAfter().orElse(Duration.ZERO));
@@ -88,29 +88,30 @@
 	}
 
 	@Override
-	void end(String how) {
-		super.end(how);
-		Optional.ofNullable(this.id).ifPresent(memory()::over);
+	void end(String result) {
+		super.end(result);
+		Optional.ofNullable(this.id).ifPresent(memory()::finished);
 	}
 
 	@Override
 	void check() {
-		this.notRun.stream()
-			.filter((each) -> violations().worked(each.toString()))
-			.forEach((each) -> violations().add(this + " was told that " + each + " did not run, but it made tokens"));
+		this.notRunIds.stream()
+			.filter((requestId) -> violations().generatedTokens(requestId.toString()))
+			.forEach((requestId) -> violations()
+				.add(this + " got " + requestId + " reported as not run, but it generated tokens"));
 	}
 
 	private void complete() {
-		boolean whole = this.offset == this.answerTokens
+		boolean complete = this.offset == this.answerTokens
 				&& ExpectedAnswer.text(this.prompt, 0, this.offset).contentEquals(this.text);
-		if (!whole) {
-			violations().add(this + " got another answer than its own, of " + this.offset + " tokens");
+		if (!complete) {
+			violations().add(this + " received an incomplete or wrong answer of " + this.offset + " tokens");
 		}
 		end("completed");
 	}
 
 	/**
-	 * Reads one attempt.
+	 * Receives the events of one attempt.
 	 */
 	private final class Sink implements AnswerSink {
 
@@ -129,7 +130,7 @@
 		@Override
 		public void tokens(long from, int tokens, String piece) {
 			requireOpen("tokens");
-			if (!current(this.attempt)) {
+			if (!isCurrent(this.attempt)) {
 				return;
 			}
 			if (from != GenerationCaller.this.offset) {
@@ -144,7 +145,7 @@
 		public void completed(EngineUsage usage) {
 			requireOpen("a completion");
 			this.ended = true;
-			if (answered(this.attempt)) {
+			if (completeAttempt(this.attempt)) {
 				complete();
 			}
 		}
@@ -158,7 +159,7 @@
 
 		private void requireOpen(String event) {
 			if (this.ended) {
-				violations().add(GenerationCaller.this + " got " + event + " after its end");
+				violations().add(GenerationCaller.this + " received " + event + " after the end of the attempt");
 			}
 		}
 
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/OperatorScript.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/OperatorScript.java
@@ -12,15 +12,15 @@
 import org.bramleyscale.internal.configuration.Register;
 
 /**
- * An operator who changes the configuration at any daemon that works, and repeats a
- * change under a new id until it is accepted.
+ * An operator who proposes configuration changes to a random running daemon, and proposes
+ * some of them again under a new id until they are accepted.
  *
  * <p>
  * Confined to the test's thread.
  */
 final class OperatorScript {
 
-	private static final Duration AGAIN = Duration.ofSeconds(1);
+	private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
 	private final Fleet fleet;
 
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * Changes the rules once, whatever becomes of it.
+	 * Proposes one change of the rules, whatever its outcome.
 	 */
 	void changeRules() {
 		propose((current, id) -> Change.of(id, current.version(), "operator", FleetDocuments.rules(this.changes + 1)),
@@ -42,18 +42,19 @@
 	}
 
 	/**
-	 * Marks an endpoint as leaving, or takes the mark back, until that is accepted.
+	 * Marks an endpoint as leaving, or removes the mark, and retries until the change is
+	 * accepted.
 	 * @param endpoint the endpoint
 	 * @param leaving the mark
 	 */
-	void mark(EndpointId endpoint, boolean leaving) {
-		UnaryOperator<Register> change = (register) -> FleetDocuments.marked(register, endpoint, leaving);
+	void setLeaving(EndpointId endpoint, boolean leaving) {
+		UnaryOperator<Register> change = (register) -> FleetDocuments.withLeaving(register, endpoint, leaving);
 		propose((current, id) -> Change.of(id, current.version(), "operator", change.apply(current.register())), true);
 	}
 
-	private void propose(Edit edit, boolean insist) {
-		List<FleetDaemon> working = this.fleet.daemons().stream().filter(FleetDaemon::working).toList();
-		FleetDaemon daemon = working.get(this.fleet.random().nextInt(working.size()));
+	private void propose(Edit edit, boolean retryUntilAccepted) {
+		List<FleetDaemon> running = this.fleet.daemons().stream().filter(FleetDaemon::running).toList();
+		FleetDaemon daemon = running.get(this.fleet.random().nextInt(running.size()));
 		ConfigurationService configuration = daemon.slices().configuration();
 		this.changes++;
 		Change change = edit.of(configuration.current(), "change-number-" + this.changes);
@@ -61,14 +62,14 @@
 			if (result instanceof ChangeResult.Accepted accepted) {
 				this.check.accepted(accepted.version());
 			}
-			else if (insist) {
-				this.fleet.scheduler().schedule(AGAIN, () -> propose(edit, true));
+			else if (retryUntilAccepted) {
+				this.fleet.scheduler().schedule(RETRY_DELAY, () -> propose(edit, true));
 			}
 		});
 	}
 
 	/**
-	 * Makes a change from the configuration that a daemon holds.
+	 * Creates a change from the current configuration of a daemon.
 	 */
 	private interface Edit {
 
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/ScriptedCaller.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/ScriptedCaller.java
@@ -13,22 +13,22 @@
  * One request of a caller, from its first attempt to its outcome.
  *
  * <p>
- * Checks that each attempt gets exactly one end, and within its time, unless its daemon
- * died or was paused meanwhile. Confined to the test's thread.
+ * Checks that each attempt ends exactly once, and before its deadline unless its daemon
+ * crashed or was paused meanwhile. Confined to the test's thread.
  */
 abstract class ScriptedCaller {
 
-	private static final Duration RETRY_PAUSE = Duration.ofMillis(50);
+	private static final Duration RETRY_DELAY = Duration.ofMillis(50);
 
 	private static final Duration TOLERANCE = Duration.ofMillis(500);
 
-	private static final int MOST_ATTEMPTS = 8;
+	private static final int MAX_ATTEMPTS = 8;
 
 	private final Fleet fleet;
 
-	private final AddressKeeper addresses;
+	private final AddressCache addresses;
 
-	private final MemoryWatch memory;
+	private final MemoryRetentionCheck memory;
 
 	private final Violations violations;
 
@@ -40,7 +40,7 @@
 
 	private int attempts;
 
-	private int current;
+	private int currentAttempt;
 
 	private String outcome;
 
@@ -48,38 +48,38 @@
 
 	private FleetDaemon.Call call;
 
-	ScriptedCaller(CallerWorld world, int number, Duration limit) {
-		this.fleet = world.fleet();
-		this.addresses = world.addresses();
-		this.memory = world.memory();
-		this.violations = world.violations();
+	ScriptedCaller(CallerContext context, int number, Duration limit) {
+		this.fleet = context.fleet();
+		this.addresses = context.addresses();
+		this.memory = context.memory();
+		this.violations = context.violations();
 		this.number = number;
 		this.account = FleetDocuments.ACCOUNTS.get(number % FleetDocuments.ACCOUNTS.size());
 		this.deadline = this.fleet.scheduler().nanos() + limit.toNanos();
 	}
 
 	/**
-	 * Sends the request, or asks for the rest of its answer.
-	 * @param daemon where
-	 * @param entry the entry as the address answer named it
-	 * @param attempt the attempt's number, to tell events of given up attempts apart
+	 * Sends the request, or resumes its answer.
+	 * @param daemon the daemon
+	 * @param entry the entry as listed in the address answer
+	 * @param attempt the attempt's number, which identifies events of abandoned attempts
 	 * @return the connection
 	 */
 	abstract FleetDaemon.Call send(FleetDaemon daemon, AddressAnswer.Entry entry, int attempt);
 
 	/**
-	 * Takes the end of an attempt without an answer.
+	 * Called when the connection of an attempt breaks before its answer.
 	 */
-	abstract void broken();
+	abstract void onDisconnect();
 
 	/**
-	 * Takes a failure that the system told.
+	 * Called when an attempt ends with a reported failure.
 	 * @param failure the failure
 	 */
-	abstract void told(ServingException failure);
+	abstract void onFailure(ServingException failure);
 
 	/**
-	 * Checks at the end of the run what the caller was told.
+	 * Checks at the end of the run the results reported to the caller.
 	 */
 	abstract void check();
 
@@ -107,7 +107,7 @@
 		return this.violations;
 	}
 
-	MemoryWatch memory() {
+	MemoryRetentionCheck memory() {
 		return this.memory;
 	}
 
@@ -115,7 +115,7 @@
 		return this.fleet;
 	}
 
-	AddressKeeper addresses() {
+	AddressCache addresses() {
 		return this.addresses;
 	}
 
@@ -131,87 +131,87 @@
 		return RequestId.parse(entry.requestIdPrefix() + "~c" + this.number + "." + this.attempts);
 	}
 
-	boolean current(int attempt) {
-		return this.outcome == null && attempt == this.current;
+	boolean isCurrent(int attempt) {
+		return this.outcome == null && attempt == this.currentAttempt;
 	}
 
 	/**
-	 * Takes the one end of an attempt.
+	 * Records the end of an attempt.
 	 * @param attempt the attempt
-	 * @return false if the attempt had been given up
+	 * @return false if the attempt had been abandoned
 	 */
-	boolean answered(int attempt) {
-		if (!current(attempt)) {
+	boolean completeAttempt(int attempt) {
+		if (!isCurrent(attempt)) {
 			return false;
 		}
-		this.current = -attempt;
-		this.call.answered();
+		this.currentAttempt = -attempt;
+		this.call.markAnswered();
 		return true;
 	}
 
 	/**
-	 * Takes a failure of the present attempt.
+	 * Handles a failure of an attempt, unless that attempt has been abandoned.
 	 * @param attempt the attempt
 	 * @param failure the failure
 	 */
 	void failed(int attempt, ServingException failure) {
-		if (answered(attempt)) {
+		if (completeAttempt(attempt)) {
 			this.lastFailure = failure.code() + " at " + failure.step();
-			told(failure);
+			onFailure(failure);
 		}
 	}
 
-	void end(String how) {
-		this.outcome = how;
+	void end(String result) {
+		this.outcome = result;
 	}
 
-	void retry(Duration pause) {
-		if (this.attempts >= MOST_ATTEMPTS || timeLeft().compareTo(pause) <= 0) {
-			end("gave up after " + this.lastFailure);
+	void retry(Duration delay) {
+		if (this.attempts >= MAX_ATTEMPTS || timeLeft().compareTo(delay) <= 0) {
+			end("abandoned after " + this.lastFailure);
 			return;
 		}
-		scheduler().schedule(pause.isZero() ? RETRY_PAUSE : pause, this::next);
+		scheduler().schedule(delay.isZero() ? RETRY_DELAY : delay, this::next);
 	}
 
 	private void next() {
 		List<AddressAnswer.Entry> entries = this.addresses.entries(this.account);
 		int attempt = ++this.attempts;
 		if (entries.isEmpty()) {
-			this.addresses.doubt(this.account);
-			retry(RETRY_PAUSE);
+			this.addresses.invalidate(this.account);
+			retry(RETRY_DELAY);
 			return;
 		}
 		AddressAnswer.Entry entry = entries.get((attempt - 1) % entries.size());
 		this.addresses.connect(entry).ifPresentOrElse((daemon) -> {
-			this.current = attempt;
+			this.currentAttempt = attempt;
 			this.call = send(daemon, entry, attempt);
 			expectEnd(attempt, daemon, timeLeft().plus(TOLERANCE));
 		}, () -> {
-			this.addresses.doubt(this.account);
-			retry(RETRY_PAUSE);
+			this.addresses.invalidate(this.account);
+			retry(RETRY_DELAY);
 		});
 	}
 
-	private void expectEnd(int attempt, FleetDaemon daemon, Duration within) {
-		scheduler().schedule(within, () -> {
-			if (!current(attempt)) {
+	private void expectEnd(int attempt, FleetDaemon daemon, Duration timeout) {
+		scheduler().schedule(timeout, () -> {
+			if (!isCurrent(attempt)) {
 				return;
 			}
 			long sinceResumed = scheduler().nanos() - daemon.resumedAt();
-			if (!daemon.working() || sinceResumed < TOLERANCE.toNanos()) {
+			if (!daemon.running() || sinceResumed < TOLERANCE.toNanos()) {
 				expectEnd(attempt, daemon, TOLERANCE);
 				return;
 			}
-			this.violations.add(this + " has no end after its time at " + daemon);
-			this.call.hangUp();
+			this.violations.add(this + " had no end within its deadline at " + daemon);
+			this.call.disconnect();
 			end("no end");
 		});
 	}
 
-	void brokenAt(int attempt) {
-		if (current(attempt)) {
-			this.current = -attempt;
-			broken();
+	void disconnected(int attempt) {
+		if (isCurrent(attempt)) {
+			this.currentAttempt = -attempt;
+			onDisconnect();
 		}
 	}
 
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/Violations.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/Violations.java
@@ -12,20 +12,21 @@
 import org.bramleyscale.standins.engine.InMemoryEndpoints;
 
 /**
- * What went wrong in a run, and what endpoints did, to compare callers' answers with.
+ * The violated invariants of a run, and the work that endpoints did, against which the
+ * results of callers are checked.
  *
  * <p>
  * Confined to the test's thread.
  */
 final class Violations implements InMemoryEndpoints.Observer {
 
-	private static final int MOST = 12;
+	private static final int MAX_REPORTED = 12;
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
 	private final List<String> found = new ArrayList<>();
 
-	private final Set<String> worked = new HashSet<>();
+	private final Set<String> requestsWithTokens = new HashSet<>();
 
 	private final Map<EndpointId, Long> noWorkAfter = new HashMap<>();
 
@@ -36,7 +37,7 @@
 	}
 
 	void add(String violation) {
-		if (this.found.size() < MOST) {
+		if (this.found.size() < MAX_REPORTED) {
 			this.found.add(String.format("at %.3f s: %s", this.clock.nanos() / NANOS_PER_SECOND, violation));
 		}
 	}
@@ -46,18 +47,18 @@
 	}
 
 	/**
-	 * Whether an engine made tokens for a request.
+	 * Whether an engine generated tokens for a request.
 	 * @param requestId the request's id
 	 * @return true if one did
 	 */
-	boolean worked(String requestId) {
-		return this.worked.contains(requestId);
+	boolean generatedTokens(String requestId) {
+		return this.requestsWithTokens.contains(requestId);
 	}
 
 	/**
-	 * Forbids new work at an endpoint from a time on.
+	 * Forbids new work at an endpoint from a given time on.
 	 * @param endpoint the endpoint
-	 * @param nanos the time, or the longest one to allow all
+	 * @param nanos the time, or the maximum value to permit all work
 	 */
 	void noWorkAfter(EndpointId endpoint, long nanos) {
 		this.noWorkAfter.put(endpoint, nanos);
@@ -67,13 +68,13 @@
 	public void taken(EndpointId endpoint, String requestId) {
 		long limit = this.noWorkAfter.getOrDefault(endpoint, Long.MAX_VALUE);
 		if (this.clock.nanos() > limit) {
-			add("leaving endpoint " + endpoint + " got new work for " + requestId);
+			add("leaving endpoint " + endpoint + " received new work for " + requestId);
 		}
 	}
 
 	@Override
 	public void worked(EndpointId endpoint, String requestId) {
-		this.worked.add(requestId);
+		this.requestsWithTokens.add(requestId);
 	}
 
 }
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/package-info.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Whole daemons under faults, on a manual clock.
+ * Tests of complete daemons under injected faults, on a manual clock.
  */
 package org.bramleyscale.standins.fleet;
