--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/Candidate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/Candidate.java
@@ -69,9 +69,9 @@
 	 * The prefill work that this engine can take without exceeding the permitted pauses
 	 * of its streams.
 	 * @param pauseShare the share of a pause that a pass may take
-	 * @param idleBacklogMillis the largest prefill backlog, ms, at which an engine still takes
-	 * work if none of its streams limits its pauses; an engine without a backlog takes a
-	 * prompt of any length
+	 * @param idleBacklogMillis the largest prefill backlog, ms, at which an engine still
+	 * takes work if none of its streams limits its pauses; an engine without a backlog
+	 * takes a prompt of any length
 	 * @return ms of prefill; negative if a stream there already pauses for too long
 	 */
 	double prefillHeadroomMillis(double pauseShare, double idleBacklogMillis) {
