--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/LeavingTold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/LeavingTold.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 
+import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -9,5 +10,6 @@
  *
  * @param endpoints their starts as text
  */
+@MessageName("LeavingTold")
 public record LeavingTold(List<String> endpoints) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashesTold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashesTold.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 
+import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -11,6 +12,7 @@
  * @param cleared digests of requests that ran to completion
  * @param living endpoints that answered after their crash was reported
  */
+@MessageName("CrashesTold")
 public record CrashesTold(List<Crash> crashes, List<String> cleared, List<String> living) implements PeerMessage {
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/CopiesTold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/CopiesTold.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 
+import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -17,6 +18,7 @@
  * @param objects the copies
  * @param times when it was sent; null from a sender of a version without timestamps
  */
+@MessageName("CopiesTold")
 public record CopiesTold(String kind, long from, long to, long ageMillis, long outageMillis,
 		List<FollowedObject> objects, SendingTimes times) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/LimitsTold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/LimitsTold.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 
+import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -9,6 +10,7 @@
  *
  * @param limits the limits
  */
+@MessageName("LimitsTold")
 public record LimitsTold(List<Limit> limits) implements PeerMessage {
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadSummed.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadSummed.java
@@ -5,6 +5,7 @@
 import java.util.Set;
 
 import org.bramleyscale.VmId;
+import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -21,6 +22,7 @@
  * @param unresponsive other relays from which the relay gets no updates; without this,
  * daemons would learn of their failure only from membership, seconds later
  */
+@MessageName("LoadSummed")
 public record LoadSummed(boolean fleet, boolean full, List<LoadTold.Share> shares, List<LoadTold.Demand> demands,
 		Map<String, Long> included, Set<VmId> unresponsive) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadTold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadTold.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 
+import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -11,6 +12,7 @@
  * @param shares its load by endpoint
  * @param demands its demand by service
  */
+@MessageName("LoadTold")
 public record LoadTold(long sequence, List<Share> shares, List<Demand> demands) implements PeerMessage {
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerCounters.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerCounters.java
@@ -80,7 +80,7 @@
 	void received(PeerMessage message) {
 		this.messages
 			.computeIfAbsent(message.getClass(),
-					(type) -> this.metrics.counter("peer.messages.received." + type.getSimpleName()))
+					(type) -> this.metrics.counter("peer.messages.received." + PeerMessage.nameOf(message.getClass())))
 			.inc();
 	}
 
