--- a/bench/src/main/java/org/bramleyscale/bench/capacity/FleetCosts.java
+++ b/bench/src/main/java/org/bramleyscale/bench/capacity/FleetCosts.java
@@ -163,7 +163,7 @@
 		private double sum(boolean changes) {
 			return this.calls.entrySet()
 				.stream()
-				.filter((entry) -> entry.getKey().changes() == changes)
+				.filter((entry) -> entry.getKey().isWrite() == changes)
 				.mapToDouble(Map.Entry::getValue)
 				.sum();
 		}
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/Play.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/Play.java
@@ -23,7 +23,7 @@
 import org.bramleyscale.internal.gateway.catalog.Service;
 import org.bramleyscale.internal.gateway.limit.EndpointLimits;
 import org.bramleyscale.internal.gateway.load.LoadExchange;
-import org.bramleyscale.internal.gateway.load.LoadTold;
+import org.bramleyscale.internal.gateway.load.LoadUpdate;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.gateway.placement.Placement;
 import org.bramleyscale.internal.gateway.placement.PlacementRequest;
@@ -85,7 +85,7 @@
 				.add(new PlayedDaemon("daemon-" + i, this.scheduler, this.backends, Policies.named(policy), choices));
 		}
 		for (int i = 0; i < experiment.engines(); i++) {
-			Backend engine = new Backend(EndpointStart.untold(String.format("engine-%04d", i)), SERVICE,
+			Backend engine = new Backend(EndpointStart.withUnknownStart(String.format("engine-%04d", i)), SERVICE,
 					HostAndPort.fromParts("10.0." + i / 256 + "." + i % 256, 80), DATA_CENTRE,
 					experiment.profile().slots(), false);
 			this.backends.put(engine);
@@ -102,7 +102,7 @@
 		if (this.daemons.size() > 1) {
 			this.daemons.forEach((daemon) -> {
 				daemon.loads().onChange(() -> tellSoon(daemon));
-				this.scheduler.repeat(LoadExchange.PAUSE, () -> tell(daemon));
+				this.scheduler.repeat(LoadExchange.UPDATE_INTERVAL, () -> tell(daemon));
 			});
 		}
 		this.experiment.kinds().forEach(this::arrive);
@@ -124,18 +124,18 @@
 
 	private void tellSoon(PlayedDaemon from) {
 		if (this.tellingSoon.add(from)) {
-			this.scheduler.schedule(LoadExchange.GATHER, () -> tell(from));
+			this.scheduler.schedule(LoadExchange.BATCH_DELAY, () -> tell(from));
 		}
 	}
 
 	private void tell(PlayedDaemon from) {
 		this.tellingSoon.remove(from);
-		List<LoadTold.Share> shares = from.loads().shares();
-		List<LoadTold.Demand> demands = from.demands().demands();
+		List<LoadUpdate.Share> shares = from.loads().shares();
+		List<LoadUpdate.Demand> demands = from.demands().demands();
 		this.scheduler.schedule(this.experiment.hearingDelay(),
 				() -> this.daemons.stream().filter((to) -> to != from).forEach((to) -> {
-					to.loads().told(from.name(), shares);
-					to.demands().told(from.name(), demands);
+					to.loads().replace(from.name(), shares);
+					to.demands().replace(from.name(), demands);
 				}));
 	}
 
@@ -219,10 +219,10 @@
 			Placement placed = this.daemon.policy()
 				.place(new PlacementRequest(this.route, Play.this.service, this.tokens,
 						this.events * (long) Play.this.experiment.profile().stride(),
-						this.route.patience().minus(waited), waited, Set.of(), EndpointLimits.NONE, DATA_CENTRE));
+						this.route.callerTimeout().minus(waited), waited, Set.of(), EndpointLimits.NONE, DATA_CENTRE));
 			if (placed.waits()) {
 				this.work.waits();
-				Play.this.scheduler.schedule(Placement.PLACED_AGAIN, this::place);
+				Play.this.scheduler.schedule(Placement.RETRY_INTERVAL, this::place);
 				return;
 			}
 			this.work.placed();
@@ -244,10 +244,10 @@
 			this.unread = placed.helpers().size() + 1;
 			PassEngine writer = Play.this.engines.get(target.start());
 			double part = (double) this.tokens / this.unread;
-			writer.read(this.kind.name(), part, placed.readMillis(), false, () -> read(writer));
+			writer.read(this.kind.name(), part, placed.prefillMillis(), false, () -> read(writer));
 			for (Backend helper : placed.helpers()) {
 				Play.this.engines.get(helper.start())
-					.read(this.kind.name(), part, placed.readMillis(), true, () -> read(writer));
+					.read(this.kind.name(), part, placed.prefillMillis(), true, () -> read(writer));
 			}
 		}
 
@@ -267,7 +267,7 @@
 				long millis = (now - this.arrived) / 1_000_000;
 				this.outcome.firstMillis.recordValue(millis);
 				this.lateFirst = millis > this.kind.targetMillis();
-				this.gone = millis > this.route.patience().toMillis();
+				this.gone = millis > this.route.callerTimeout().toMillis();
 				this.work.read();
 			}
 			else if (now - this.lastEvent > this.kind.pauseMillis() * 1_000_000L) {
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/PlayedDaemon.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/PlayedDaemon.java
@@ -6,8 +6,8 @@
 import org.bramleyscale.internal.gateway.backend.BackendHealth;
 import org.bramleyscale.internal.gateway.backend.BackendTable;
 import org.bramleyscale.internal.gateway.catalog.Service;
-import org.bramleyscale.internal.gateway.load.DemandBoard;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.load.DemandTracker;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.gateway.placement.PlacementPolicy;
 import org.bramleyscale.internal.time.ManualScheduler;
@@ -19,9 +19,9 @@
 
 	private final String name;
 
-	private final LoadBoard loads;
+	private final LoadTracker loads;
 
-	private final DemandBoard demands;
+	private final DemandTracker demands;
 
 	private final BackendTable backends;
 
@@ -34,8 +34,8 @@
 	PlayedDaemon(String name, ManualScheduler scheduler, BackendTable backends, PolicyFactory policy,
 			RandomGenerator random) {
 		this.name = name;
-		this.loads = new LoadBoard(scheduler);
-		this.demands = new DemandBoard(scheduler);
+		this.loads = new LoadTracker(scheduler);
+		this.demands = new DemandTracker(scheduler);
 		this.backends = backends;
 		this.health = new BackendHealth(scheduler, DecisionLog.NONE);
 		this.random = random;
@@ -46,11 +46,11 @@
 		return this.name;
 	}
 
-	LoadBoard loads() {
+	LoadTracker loads() {
 		return this.loads;
 	}
 
-	DemandBoard demands() {
+	DemandTracker demands() {
 		return this.demands;
 	}
 
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/PlayedWork.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/PlayedWork.java
@@ -27,7 +27,7 @@
 	PlayedWork(PlayedDaemon daemon, Service service, long tokens) {
 		this.daemon = daemon;
 		this.longPrompt = EnginePlacement.isLong(service, tokens);
-		this.readMillis = service.engine().orElseThrow().readMillis(tokens);
+		this.readMillis = service.engine().orElseThrow().prefillMillis(tokens);
 		if (!this.longPrompt) {
 			daemon.demands().shortBegan(Play.SERVICE);
 		}
@@ -52,7 +52,7 @@
 	}
 
 	void read() {
-		this.work.read();
+		this.work.prefillDone();
 	}
 
 	void ended() {
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/Policies.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/Policies.java
@@ -42,14 +42,16 @@
 	private static Map<String, PolicyFactory> policies() {
 		Map<String, PolicyFactory> policies = new TreeMap<>();
 		policies.put("product", tuned(PlacementTuning.DEFAULT));
-		policies.put("without lanes", tuned(PlacementTuning.builder().lanes(false).build()));
-		policies.put("without budgets", tuned(PlacementTuning.builder().budgets(false).build()));
-		policies.put("without room for short ones", tuned(PlacementTuning.builder().shortRoomy(0.7).build()));
-		policies.put("without waiting for more readers", tuned(PlacementTuning.builder().laterThanBest(1_000).build()));
-		policies.put("without bound of free engines", tuned(PlacementTuning.builder().freeShare(100).build()));
-		policies.put("without parts of medium prompts", tuned(PlacementTuning.builder().wholeShare(10).build()));
-		policies.put("best of all", tuned(PlacementTuning.builder().choices(Integer.MAX_VALUE).build()));
-		policies.put("by chance", tuned(PlacementTuning.builder().choices(1).build()));
+		policies.put("without lanes", tuned(PlacementTuning.builder().separateLanes(false).build()));
+		policies.put("without budgets", tuned(PlacementTuning.builder().pauseBudgets(false).build()));
+		policies.put("without room for short ones",
+				tuned(PlacementTuning.builder().shortLaneFillWithSpare(0.7).build()));
+		policies.put("without waiting for more readers",
+				tuned(PlacementTuning.builder().latenessFactor(1_000).build()));
+		policies.put("without bound of free engines", tuned(PlacementTuning.builder().idleBacklogShare(100).build()));
+		policies.put("without parts of medium prompts", tuned(PlacementTuning.builder().singleEngineShare(10).build()));
+		policies.put("best of all", tuned(PlacementTuning.builder().sampleSize(Integer.MAX_VALUE).build()));
+		policies.put("by chance", tuned(PlacementTuning.builder().sampleSize(1).build()));
 		policies.put("least in flight", Policies::leastInFlight);
 		policies.put("always split", Policies::alwaysSplit);
 		return policies;
@@ -69,7 +71,7 @@
 		return (request) -> {
 			EngineProfile profile = request.service().engine().orElseThrow();
 			Backend best = byActive(daemon).get(0);
-			return Placement.at(best, List.of(), profile.readMillis(request.promptTokens()), 0, "least in flight");
+			return Placement.at(best, List.of(), profile.prefillMillis(request.promptTokens()), 0, "least in flight");
 		};
 	}
 
@@ -82,9 +84,9 @@
 		return (request) -> {
 			EngineProfile profile = request.service().engine().orElseThrow();
 			List<Backend> sorted = byActive(daemon);
-			int readers = Math.min(EnginePlacement.MOST_READERS, sorted.size());
+			int readers = Math.min(EnginePlacement.MAX_PREFILL_ENGINES, sorted.size());
 			return Placement.at(sorted.get(0), sorted.subList(1, readers),
-					profile.readMillis(request.promptTokens()) / readers, 0, "always split");
+					profile.prefillMillis(request.promptTokens()) / readers, 0, "always split");
 		};
 	}
 
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/RequestKind.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/RequestKind.java
@@ -69,7 +69,7 @@
 			.streaming(true)
 			.targetLatency(Duration.ofMillis(this.targetMillis))
 			.longestPause(Duration.ofMillis(this.pauseMillis))
-			.patience(Duration.ofMillis(patience))
+			.callerTimeout(Duration.ofMillis(patience))
 			.build();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/BackendHealth.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/BackendHealth.java
@@ -75,12 +75,12 @@
 	 * @param start the endpoint
 	 * @param backoff the requested back-off
 	 */
-	public void asksForRest(EndpointStart start, Duration backoff) {
-		if (restLeft(start).compareTo(backoff) >= 0) {
+	public void backoffRequested(EndpointStart start, Duration backoff) {
+		if (backoffLeft(start).compareTo(backoff) >= 0) {
 			return;
 		}
 		if (this.requestedBackoffUntil.size() >= BACKOFF_CLEANUP_THRESHOLD) {
-			this.requestedBackoffUntil.keySet().removeIf((other) -> restLeft(other).isZero());
+			this.requestedBackoffUntil.keySet().removeIf((other) -> backoffLeft(other).isZero());
 		}
 		this.requestedBackoffUntil.put(start, this.clock.nanos() + backoff.toNanos());
 		this.log.belief("endpoint", start, "asked_rest_ms", backoff.toMillis());
@@ -91,7 +91,7 @@
 	 * @param start the endpoint
 	 * @return the remaining time, zero if it may be sent requests
 	 */
-	public Duration restLeft(EndpointStart start) {
+	public Duration backoffLeft(EndpointStart start) {
 		Long until = this.requestedBackoffUntil.get(start);
 		return (until != null) ? Duration.ofNanos(Math.max(0, until - this.clock.nanos())) : Duration.ZERO;
 	}
@@ -146,7 +146,7 @@
 	 * @return true during a back-off, or while the endpoint fails too many requests
 	 */
 	public boolean avoid(EndpointStart start) {
-		if (!restLeft(start).isZero()) {
+		if (!backoffLeft(start).isZero()) {
 			return true;
 		}
 		State state = this.states.get(start);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/BackendTable.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/BackendTable.java
@@ -70,7 +70,7 @@
 	 * Sets the listener that is notified when a start ends without having drained.
 	 * @param listener the listener
 	 */
-	public void onEnd(Consumer<EndpointStart> listener) {
+	public void onUnplannedEnd(Consumer<EndpointStart> listener) {
 		this.endListener = listener;
 	}
 
@@ -93,7 +93,7 @@
 	}
 
 	@Override
-	public void leaves(EndpointStart endpoint) {
+	public void announceLeaving(EndpointStart endpoint) {
 		markLeaving(endpoint, "its answer");
 	}
 
@@ -174,7 +174,7 @@
 	}
 
 	@Override
-	public boolean offers(Backend backend) {
+	public boolean acceptsRequests(Backend backend) {
 		Backend current = this.backends.get(backend.id());
 		return current != null && current.start().equals(backend.start()) && !current.draining();
 	}
@@ -185,7 +185,7 @@
 	 * @return true if the list names another start of it; false also if it isn't on the
 	 * list
 	 */
-	public boolean startedAgain(Backend backend) {
+	public boolean hasRestarted(Backend backend) {
 		Backend current = this.backends.get(backend.id());
 		return current != null && !current.start().equals(backend.start());
 	}
@@ -221,7 +221,7 @@
 	 * @return the valid entries
 	 */
 	private static List<Backend> withoutForeignEntries(List<Backend> entries) {
-		List<Backend> withStart = entries.stream().filter((backend) -> backend.start().told()).toList();
+		List<Backend> withStart = entries.stream().filter((backend) -> backend.start().hasKnownStart()).toList();
 		return (2 * withStart.size() > entries.size()) ? withStart : List.copyOf(entries);
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/EndpointNotice.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/EndpointNotice.java
@@ -12,12 +12,12 @@
  *
  * @param leaving true if it is about to terminate and accepts no new requests from any
  * daemon
- * @param rest the back-off that it requests from the daemon whose request it rejected;
+ * @param backoff the back-off that it requests from the daemon whose request it rejected;
  * empty if it requests none
  * @param perSecond the requests a second that it accepts from all daemons together, if it
  * names a limit
  */
-public record EndpointNotice(boolean leaving, Optional<Duration> rest, OptionalDouble perSecond) {
+public record EndpointNotice(boolean leaving, Optional<Duration> backoff, OptionalDouble perSecond) {
 
 	/** A notice without information. */
 	public static final EndpointNotice NONE = new EndpointNotice(false, Optional.empty(), OptionalDouble.empty());
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/EndpointNotices.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/EndpointNotices.java
@@ -23,11 +23,11 @@
 	 * @param endpoint the endpoint that sent it
 	 * @param notice the notice
 	 */
-	public void heard(EndpointStart endpoint, EndpointNotice notice) {
+	public void apply(EndpointStart endpoint, EndpointNotice notice) {
 		if (notice.leaving()) {
-			this.presence.leaves(endpoint);
+			this.presence.announceLeaving(endpoint);
 		}
-		notice.rest().ifPresent((backoff) -> this.health.asksForRest(endpoint, backoff));
+		notice.backoff().ifPresent((backoff) -> this.health.backoffRequested(endpoint, backoff));
 	}
 
 	/**
@@ -36,8 +36,8 @@
 	 * @return false if it is leaving, has requested a back-off, was removed, or has
 	 * restarted
 	 */
-	public boolean takes(Backend endpoint) {
-		return this.presence.offers(endpoint) && this.health.restLeft(endpoint.start()).isZero();
+	public boolean acceptsRequests(Backend endpoint) {
+		return this.presence.acceptsRequests(endpoint) && this.health.backoffLeft(endpoint.start()).isZero();
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/EndpointPresence.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/EndpointPresence.java
@@ -13,12 +13,12 @@
 	 * @param backend the endpoint as last known
 	 * @return false if it is draining, was removed, or has restarted
 	 */
-	boolean offers(Backend backend);
+	boolean acceptsRequests(Backend backend);
 
 	/**
 	 * Records an endpoint's announcement that it is leaving.
 	 * @param endpoint the endpoint
 	 */
-	void leaves(EndpointStart endpoint);
+	void announceLeaving(EndpointStart endpoint);
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/EndpointStart.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/EndpointStart.java
@@ -13,12 +13,13 @@
  * multiple threads.
  *
  * @param id the endpoint's id
- * @param bornMillis the start time, in ms since 1970, or {@link #UNTOLD} if unknown
+ * @param startMillis the start time, in ms since 1970, or {@link #UNKNOWN_START} if
+ * unknown
  */
-public record EndpointStart(EndpointId id, long bornMillis) {
+public record EndpointStart(EndpointId id, long startMillis) {
 
 	/** The start time of an endpoint that provides none. */
-	public static final long UNTOLD = -1;
+	public static final long UNKNOWN_START = -1;
 
 	private static final char SEPARATOR = '@';
 
@@ -27,8 +28,8 @@
 	 * @param id the endpoint's id
 	 * @return the start
 	 */
-	public static EndpointStart untold(String id) {
-		return new EndpointStart(new EndpointId(id), UNTOLD);
+	public static EndpointStart withUnknownStart(String id) {
+		return new EndpointStart(new EndpointId(id), UNKNOWN_START);
 	}
 
 	/**
@@ -39,7 +40,7 @@
 	public static EndpointStart parse(String text) {
 		int separator = text.lastIndexOf(SEPARATOR);
 		if (separator < 0) {
-			return untold(text);
+			return withUnknownStart(text);
 		}
 		return new EndpointStart(new EndpointId(text.substring(0, separator)),
 				Long.parseLong(text.substring(separator + 1)));
@@ -49,8 +50,8 @@
 	 * Whether the endpoint provides its start time.
 	 * @return false if its starts can't be distinguished
 	 */
-	public boolean told() {
-		return this.bornMillis != UNTOLD;
+	public boolean hasKnownStart() {
+		return this.startMillis != UNKNOWN_START;
 	}
 
 	/**
@@ -60,17 +61,17 @@
 	 */
 	@Override
 	public boolean equals(Object other) {
-		return other instanceof EndpointStart that && this.bornMillis == that.bornMillis && this.id.equals(that.id);
+		return other instanceof EndpointStart that && this.startMillis == that.startMillis && this.id.equals(that.id);
 	}
 
 	@Override
 	public int hashCode() {
-		return 31 * this.id.hashCode() + Long.hashCode(this.bornMillis);
+		return 31 * this.id.hashCode() + Long.hashCode(this.startMillis);
 	}
 
 	@Override
 	public String toString() {
-		return told() ? this.id.value() + SEPARATOR + this.bornMillis : this.id.value();
+		return hasKnownStart() ? this.id.value() + SEPARATOR + this.startMillis : this.id.value();
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/FleetPresence.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/FleetPresence.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 import org.bramleyscale.Incarnation;
-import org.bramleyscale.internal.gateway.follow.FleetNews;
-import org.bramleyscale.internal.gateway.follow.NewsRoutes;
+import org.bramleyscale.internal.gateway.follow.FleetGossip;
+import org.bramleyscale.internal.gateway.follow.UpdateRoutes;
 import org.bramleyscale.internal.peer.MessageCatalog;
 import org.bramleyscale.internal.peer.PeerNetwork;
 import org.bramleyscale.internal.time.Scheduler;
@@ -21,14 +21,14 @@
  * answer notifies the others, so that they don't find out by a request that is cut off.
  * Confined to the scheduler's thread.
  */
-public final class FleetPresence implements EndpointPresence, FleetNews.Beliefs<LeavingTold> {
+public final class FleetPresence implements EndpointPresence, FleetGossip.State<LeavingUpdate> {
 
 	/** Maximum number of endpoints in a repeated message: 30 bytes each. */
 	private static final int MAX_REPEATED = 40;
 
 	private final BackendTable backends;
 
-	private final FleetNews<LeavingTold> broadcaster;
+	private final FleetGossip<LeavingUpdate> broadcaster;
 
 	/**
 	 * Creates the presence and starts to exchange it with peers.
@@ -37,9 +37,9 @@
 	 * @param routes the peers that updates are sent to
 	 * @param backends the table of endpoints
 	 */
-	public FleetPresence(Scheduler scheduler, PeerNetwork network, NewsRoutes routes, BackendTable backends) {
+	public FleetPresence(Scheduler scheduler, PeerNetwork network, UpdateRoutes routes, BackendTable backends) {
 		this.backends = backends;
-		this.broadcaster = new FleetNews<>(scheduler, network, routes, LeavingTold.class, this);
+		this.broadcaster = new FleetGossip<>(scheduler, network, routes, LeavingUpdate.class, this);
 	}
 
 	/**
@@ -47,23 +47,23 @@
 	 * @param builder the message catalog
 	 */
 	public static void register(MessageCatalog.Builder builder) {
-		builder.add(107, LeavingTold.class);
+		builder.add(107, LeavingUpdate.class);
 	}
 
 	@Override
-	public boolean offers(Backend backend) {
-		return this.backends.offers(backend);
+	public boolean acceptsRequests(Backend backend) {
+		return this.backends.acceptsRequests(backend);
 	}
 
 	@Override
-	public void leaves(EndpointStart endpoint) {
+	public void announceLeaving(EndpointStart endpoint) {
 		if (this.backends.markLeaving(endpoint, "its answer")) {
-			this.broadcaster.tell(new LeavingTold(List.of(endpoint.toString())));
+			this.broadcaster.publish(new LeavingUpdate(List.of(endpoint.toString())));
 		}
 	}
 
 	@Override
-	public Optional<LeavingTold> gist() {
+	public Optional<LeavingUpdate> digest() {
 		return toMessage(this.backends.leaving()
 			.stream()
 			.limit(MAX_REPEATED)
@@ -72,14 +72,14 @@
 	}
 
 	@Override
-	public Optional<LeavingTold> heard(Incarnation from, LeavingTold message) {
+	public Optional<LeavingUpdate> merge(Incarnation from, LeavingUpdate message) {
 		List<String> endpoints = new ArrayList<>((message.endpoints() != null) ? message.endpoints() : List.of());
 		endpoints.removeIf((endpoint) -> !this.backends.markLeaving(EndpointStart.parse(endpoint), from));
 		return toMessage(endpoints);
 	}
 
-	private static Optional<LeavingTold> toMessage(List<String> endpoints) {
-		return endpoints.isEmpty() ? Optional.empty() : Optional.of(new LeavingTold(endpoints));
+	private static Optional<LeavingUpdate> toMessage(List<String> endpoints) {
+		return endpoints.isEmpty() ? Optional.empty() : Optional.of(new LeavingUpdate(endpoints));
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/LeavingTold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/LeavingUpdate.java
@@ -11,5 +11,5 @@
  * @param endpoints their starts as text
  */
 @MessageName("LeavingTold")
-public record LeavingTold(List<String> endpoints) implements PeerMessage {
+public record LeavingUpdate(List<String> endpoints) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/EngineProfile.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/EngineProfile.java
@@ -41,7 +41,7 @@
 	 * @param tokens the prompt's length
 	 * @return the time, in ms
 	 */
-	public double readMillis(long tokens) {
+	public double prefillMillis(long tokens) {
 		double pairs = (double) tokens * tokens / 2;
 		return tokens / this.readTokensPerMilli + pairs / MILLION * this.pairMillis;
 	}
@@ -63,7 +63,7 @@
 	 * @param writers the number of concurrent writers
 	 * @return the time, in ms
 	 */
-	public double writeMillis(long tokens, int writers) {
+	public double decodeMillis(long tokens, int writers) {
 		return tokens * passMillis(writers, 0) / this.stride;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/Route.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/Route.java
@@ -40,7 +40,7 @@
 
 	private final Duration longestPause;
 
-	private final Duration patience;
+	private final Duration callerTimeout;
 
 	private Route(Builder builder) {
 		this.name = builder.name;
@@ -56,7 +56,7 @@
 		this.timeout = builder.timeout;
 		this.targetLatency = builder.targetLatency;
 		this.longestPause = builder.longestPause;
-		this.patience = builder.patience;
+		this.callerTimeout = builder.callerTimeout;
 	}
 
 	/**
@@ -163,8 +163,8 @@
 	 * How long callers wait for the first or the next event before they disconnect.
 	 * @return the time
 	 */
-	public Duration patience() {
-		return this.patience;
+	public Duration callerTimeout() {
+		return this.callerTimeout;
 	}
 
 	@Override
@@ -205,7 +205,7 @@
 
 		private Duration longestPause = Duration.ZERO;
 
-		private Duration patience = DEFAULT_TIME;
+		private Duration callerTimeout = DEFAULT_TIME;
 
 		private Builder(String name, String host, String pathPrefix) {
 			this.name = name;
@@ -267,8 +267,8 @@
 			return this;
 		}
 
-		public Builder patience(Duration value) {
-			this.patience = value;
+		public Builder callerTimeout(Duration value) {
+			this.callerTimeout = value;
 			return this;
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/Service.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/Service.java
@@ -14,9 +14,10 @@
  * @param connectionLimit the maximum number of connections that one endpoint accepts from
  * all daemons together
  * @param engine the performance model of its engines, or empty for a plain service
- * @param aims the targets for its streams, from the routes that lead to it
+ * @param streamTargets the targets for its streams, from the routes that lead to it
  */
-public record Service(ServiceName name, int connectionLimit, Optional<EngineProfile> engine, StreamAims aims) {
+public record Service(ServiceName name, int connectionLimit, Optional<EngineProfile> engine,
+		StreamTargets streamTargets) {
 
 	/**
 	 * Creates a service whose routes aren't known yet.
@@ -25,7 +26,7 @@
 	 * @param engine the performance model of its engines, or empty for a plain service
 	 */
 	public Service(ServiceName name, int connectionLimit, Optional<EngineProfile> engine) {
-		this(name, connectionLimit, engine, StreamAims.NONE);
+		this(name, connectionLimit, engine, StreamTargets.NONE);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/StreamAims.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/StreamTargets.java
@@ -13,23 +13,23 @@
  * events
  * @param slowestTarget the maximum of the routes' target times to the first event
  */
-public record StreamAims(Duration strictestPause, Duration slowestTarget) {
+public record StreamTargets(Duration strictestPause, Duration slowestTarget) {
 
 	/** The targets of a service without streams, or whose routes define none. */
-	public static final StreamAims NONE = new StreamAims(Duration.ofSeconds(1), Duration.ofSeconds(1));
+	public static final StreamTargets NONE = new StreamTargets(Duration.ofSeconds(1), Duration.ofSeconds(1));
 
-	private static final StreamAims UNSET = new StreamAims(Duration.ZERO, Duration.ZERO);
+	private static final StreamTargets UNSET = new StreamTargets(Duration.ZERO, Duration.ZERO);
 
 	/**
 	 * Combines the targets of routes.
 	 * @param routes the routes of a service
 	 * @return the strictest pause and the slowest target of its streaming routes
 	 */
-	static StreamAims of(Iterable<Route> routes) {
-		StreamAims aims = UNSET;
+	static StreamTargets of(Iterable<Route> routes) {
+		StreamTargets aims = UNSET;
 		for (Route route : routes) {
 			if (route.streaming() && !route.longestPause().isZero()) {
-				aims = new StreamAims(shorter(aims.strictestPause, route.longestPause()),
+				aims = new StreamTargets(shorter(aims.strictestPause, route.longestPause()),
 						longer(aims.slowestTarget, route.targetLatency()));
 			}
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashExchange.java
@@ -10,8 +10,8 @@
 
 import org.bramleyscale.Incarnation;
 import org.bramleyscale.internal.gateway.backend.EndpointStart;
-import org.bramleyscale.internal.gateway.follow.FleetNews;
-import org.bramleyscale.internal.gateway.follow.NewsRoutes;
+import org.bramleyscale.internal.gateway.follow.FleetGossip;
+import org.bramleyscale.internal.gateway.follow.UpdateRoutes;
 import org.bramleyscale.internal.peer.MessageCatalog;
 import org.bramleyscale.internal.peer.PeerNetwork;
 import org.bramleyscale.internal.time.Scheduler;
@@ -26,7 +26,7 @@
  * one peer after another, for peers that have just started or missed a message. Confined
  * to the scheduler's thread.
  */
-final class CrashExchange implements FleetNews.Beliefs<CrashesTold> {
+final class CrashExchange implements FleetGossip.State<CrashUpdate> {
 
 	/**
 	 * Maximum number of crashes in a repeated message: 60 bytes each, 1.2 KB a second.
@@ -35,7 +35,7 @@
 
 	private final PeerNetwork network;
 
-	private final FleetNews<CrashesTold> broadcaster;
+	private final FleetGossip<CrashUpdate> broadcaster;
 
 	private final CrashRegistry registry;
 
@@ -46,10 +46,10 @@
 	 * @param routes the peers that updates are sent to
 	 * @param registry the known crashes
 	 */
-	CrashExchange(Scheduler scheduler, PeerNetwork network, NewsRoutes routes, CrashRegistry registry) {
+	CrashExchange(Scheduler scheduler, PeerNetwork network, UpdateRoutes routes, CrashRegistry registry) {
 		this.network = network;
 		this.registry = registry;
-		this.broadcaster = new FleetNews<>(scheduler, network, routes, CrashesTold.class, this);
+		this.broadcaster = new FleetGossip<>(scheduler, network, routes, CrashUpdate.class, this);
 	}
 
 	/**
@@ -57,7 +57,7 @@
 	 * @param builder the message catalog
 	 */
 	static void register(MessageCatalog.Builder builder) {
-		builder.add(105, CrashesTold.class);
+		builder.add(105, CrashUpdate.class);
 	}
 
 	/**
@@ -67,27 +67,27 @@
 	 */
 	void crashed(RequestDigest request) {
 		this.broadcaster
-			.tell(new CrashesTold(crashes(request, this.registry.endpoints(request)), List.of(), List.of()));
+			.publish(new CrashUpdate(crashes(request, this.registry.endpoints(request)), List.of(), List.of()));
 	}
 
 	void cleared(RequestDigest request) {
-		this.broadcaster.tell(new CrashesTold(List.of(), List.of(request.value()), List.of()));
+		this.broadcaster.publish(new CrashUpdate(List.of(), List.of(request.value()), List.of()));
 	}
 
 	void retractCrashes(EndpointStart endpoint) {
-		this.broadcaster.tell(new CrashesTold(List.of(), List.of(), List.of(endpoint.toString())));
+		this.broadcaster.publish(new CrashUpdate(List.of(), List.of(), List.of(endpoint.toString())));
 	}
 
 	@Override
-	public Optional<CrashesTold> gist() {
-		List<CrashesTold.Crash> repeated = this.registry.crashesToRepeat(MAX_REPEATED);
-		return repeated.isEmpty() ? Optional.empty() : Optional.of(new CrashesTold(repeated, List.of(), List.of()));
+	public Optional<CrashUpdate> digest() {
+		List<CrashUpdate.Crash> repeated = this.registry.crashesToRepeat(MAX_REPEATED);
+		return repeated.isEmpty() ? Optional.empty() : Optional.of(new CrashUpdate(repeated, List.of(), List.of()));
 	}
 
 	@Override
-	public Optional<CrashesTold> heard(Incarnation from, CrashesTold message) {
+	public Optional<CrashUpdate> merge(Incarnation from, CrashUpdate message) {
 		sendMissing(from, orEmpty(message.crashes()));
-		List<CrashesTold.Crash> crashes = new ArrayList<>(orEmpty(message.crashes()));
+		List<CrashUpdate.Crash> crashes = new ArrayList<>(orEmpty(message.crashes()));
 		crashes.removeIf((crash) -> !this.registry.crashed(new RequestDigest(crash.request()),
 				EndpointStart.parse(crash.endpoint())));
 		List<String> cleared = new ArrayList<>(orEmpty(message.cleared()));
@@ -95,7 +95,7 @@
 		List<String> living = new ArrayList<>(orEmpty(message.living()));
 		living.removeIf((endpoint) -> !this.registry.retractCrashes(EndpointStart.parse(endpoint)));
 		boolean changed = !crashes.isEmpty() || !cleared.isEmpty() || !living.isEmpty();
-		return changed ? Optional.of(new CrashesTold(crashes, cleared, living)) : Optional.empty();
+		return changed ? Optional.of(new CrashUpdate(crashes, cleared, living)) : Optional.empty();
 	}
 
 	/**
@@ -104,10 +104,10 @@
 	 * @param from the peer
 	 * @param reported the crashes that it reported
 	 */
-	private void sendMissing(Incarnation from, List<CrashesTold.Crash> reported) {
+	private void sendMissing(Incarnation from, List<CrashUpdate.Crash> reported) {
 		Map<RequestDigest, Set<EndpointStart>> missing = new LinkedHashMap<>();
 		Set<String> cleared = new HashSet<>();
-		for (CrashesTold.Crash crash : reported) {
+		for (CrashUpdate.Crash crash : reported) {
 			RequestDigest request = new RequestDigest(crash.request());
 			if (this.registry.cleared(request, EndpointStart.parse(crash.endpoint()))) {
 				cleared.add(crash.request());
@@ -115,16 +115,16 @@
 			missing.computeIfAbsent(request, (key) -> new HashSet<>(this.registry.endpoints(key)))
 				.remove(EndpointStart.parse(crash.endpoint()));
 		}
-		List<CrashesTold.Crash> crashes = new ArrayList<>();
+		List<CrashUpdate.Crash> crashes = new ArrayList<>();
 		missing.forEach((request, endpoints) -> crashes.addAll(crashes(request, endpoints)));
 		if (!crashes.isEmpty() || !cleared.isEmpty()) {
-			this.network.send(from.vm(), new CrashesTold(crashes, List.copyOf(cleared), List.of()));
+			this.network.send(from.vm(), new CrashUpdate(crashes, List.copyOf(cleared), List.of()));
 		}
 	}
 
-	private static List<CrashesTold.Crash> crashes(RequestDigest request, Set<EndpointStart> endpoints) {
+	private static List<CrashUpdate.Crash> crashes(RequestDigest request, Set<EndpointStart> endpoints) {
 		return endpoints.stream()
-			.map((endpoint) -> new CrashesTold.Crash(request.value(), endpoint.toString()))
+			.map((endpoint) -> new CrashUpdate.Crash(request.value(), endpoint.toString()))
 			.toList();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashGuard.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashGuard.java
@@ -28,12 +28,12 @@
 		}
 
 		@Override
-		public void fell(RequestDigest request, Backend endpoint) {
+		public void connectionLost(RequestDigest request, Backend endpoint) {
 			// Nothing is recorded.
 		}
 
 		@Override
-		public void survived(RequestDigest request) {
+		public void completed(RequestDigest request) {
 			// Nothing is recorded.
 		}
 
@@ -66,13 +66,13 @@
 	 * @param request the request
 	 * @param endpoint the endpoint
 	 */
-	void fell(RequestDigest request, Backend endpoint);
+	void connectionLost(RequestDigest request, Backend endpoint);
 
 	/**
 	 * Records that an endpoint has run a request to completion.
 	 * @param request the request
 	 */
-	void survived(RequestDigest request);
+	void completed(RequestDigest request);
 
 	/**
 	 * Records that an endpoint has answered.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashRecords.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashRecords.java
@@ -10,7 +10,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-import org.bramleyscale.internal.gateway.follow.FollowedObject;
+import org.bramleyscale.internal.gateway.follow.ObjectCopy;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.platform.ObjectKey;
 import org.bramleyscale.internal.platform.ObjectStore;
@@ -84,7 +84,7 @@
 	 * Applies a changed or deleted record.
 	 * @param object the record's copy
 	 */
-	void changed(FollowedObject object) {
+	void changed(ObjectCopy object) {
 		RequestDigest request = new RequestDigest(object.name());
 		if (object.deleted()) {
 			this.registry.removeRecord(request);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashRegistry.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashRegistry.java
@@ -216,7 +216,7 @@
 		}
 		if (record != null && !record.trialInProgress(known, this.clock.nanos())
 				&& record.record().trials() >= MAX_TRIALS) {
-			return Verdict.DEADLY;
+			return Verdict.BLOCKED;
 		}
 		boolean inProgress = record != null && record.trialInProgress(known, this.clock.nanos());
 		return (inProgress || pendingChecks > 0) ? Verdict.WAIT : Verdict.TRIAL;
@@ -229,19 +229,19 @@
 	 * @param max the maximum number of crashes
 	 * @return the crashes
 	 */
-	List<CrashesTold.Crash> crashesToRepeat(int max) {
+	List<CrashUpdate.Crash> crashesToRepeat(int max) {
 		List<RequestDigest> requests = new ArrayList<>(this.crashes.keySet());
 		long now = this.clock.nanos();
 		requests.removeIf((request) -> this.records.containsKey(request)
 				|| now - this.crashes.get(request).latestAt > REPEAT_PERIOD.toNanos());
 		requests.sort(Comparator.comparingInt((request) -> -this.crashes.get(request).endpoints.size()));
-		List<CrashesTold.Crash> repeated = new ArrayList<>();
+		List<CrashUpdate.Crash> repeated = new ArrayList<>();
 		for (RequestDigest request : requests) {
 			for (EndpointStart endpoint : this.crashes.get(request).endpoints) {
 				if (repeated.size() == max) {
 					return repeated;
 				}
-				repeated.add(new CrashesTold.Crash(request.value(), endpoint.toString()));
+				repeated.add(new CrashUpdate.Crash(request.value(), endpoint.toString()));
 			}
 		}
 		return repeated;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashesTold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashUpdate.java
@@ -13,7 +13,7 @@
  * @param living endpoints that answered after their crash was reported
  */
 @MessageName("CrashesTold")
-public record CrashesTold(List<Crash> crashes, List<String> cleared, List<String> living) implements PeerMessage {
+public record CrashUpdate(List<Crash> crashes, List<String> cleared, List<String> living) implements PeerMessage {
 
 	/**
 	 * A request that was in flight at an endpoint when it crashed.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/FleetCrashGuard.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/FleetCrashGuard.java
@@ -8,8 +8,8 @@
 import com.codahale.metrics.MetricRegistry;
 import org.bramleyscale.internal.gateway.backend.Backend;
 import org.bramleyscale.internal.gateway.backend.EndpointStart;
-import org.bramleyscale.internal.gateway.follow.FollowedObject;
-import org.bramleyscale.internal.gateway.follow.NewsRoutes;
+import org.bramleyscale.internal.gateway.follow.ObjectCopy;
+import org.bramleyscale.internal.gateway.follow.UpdateRoutes;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.peer.MessageCatalog;
 import org.bramleyscale.internal.peer.PeerNetwork;
@@ -80,7 +80,7 @@
 	 * Applies a changed or deleted record.
 	 * @param object the record's copy
 	 */
-	public void recordChanged(FollowedObject object) {
+	public void recordChanged(ObjectCopy object) {
 		this.records.changed(object);
 	}
 
@@ -88,7 +88,7 @@
 	 * Records that an endpoint was removed from the platform's list or has restarted.
 	 * @param endpoint the endpoint
 	 */
-	public void gone(EndpointStart endpoint) {
+	public void endpointRemoved(EndpointStart endpoint) {
 		this.detector.removed(endpoint);
 	}
 
@@ -111,12 +111,12 @@
 	}
 
 	@Override
-	public void fell(RequestDigest request, Backend endpoint) {
+	public void connectionLost(RequestDigest request, Backend endpoint) {
 		this.detector.connectionLost(request, endpoint);
 	}
 
 	@Override
-	public void survived(RequestDigest request) {
+	public void completed(RequestDigest request) {
 		int crashes = this.registry.crashes(request);
 		long version = this.registry.record(request).map(CrashRegistry.StoredRecord::version).orElse(0L);
 		if (this.registry.clear(request)) {
@@ -162,8 +162,8 @@
 	 * @param log the decision log
 	 * @param metrics the metric registry
 	 */
-	public record Ports(Scheduler scheduler, PeerNetwork network, NewsRoutes routes, ObjectStore store, DecisionLog log,
-			MetricRegistry metrics) {
+	public record Ports(Scheduler scheduler, PeerNetwork network, UpdateRoutes routes, ObjectStore store,
+			DecisionLog log, MetricRegistry metrics) {
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/Verdict.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/Verdict.java
@@ -26,6 +26,6 @@
 	/**
 	 * The endpoint of its last trial has crashed as well; the request is no longer sent.
 	 */
-	DEADLY
+	BLOCKED
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/CopiesHeld.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/CopiesDigest.java
@@ -12,7 +12,7 @@
  * @param times when it was sent; null from a sender of a version without timestamps
  */
 @MessageName("CopiesHeld")
-public record CopiesHeld(List<Held> kinds, SendingTimes times) implements PeerMessage {
+public record CopiesDigest(List<Held> kinds, SendingTimes times) implements PeerMessage {
 
 	/**
 	 * The state of one kind.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/CopiesTold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/CopiesUpdate.java
@@ -19,6 +19,6 @@
  * @param times when it was sent; null from a sender of a version without timestamps
  */
 @MessageName("CopiesTold")
-public record CopiesTold(String kind, long from, long to, long ageMillis, long outageMillis,
-		List<FollowedObject> objects, SendingTimes times) implements PeerMessage {
+public record CopiesUpdate(String kind, long from, long to, long ageMillis, long outageMillis, List<ObjectCopy> objects,
+		SendingTimes times) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FleetNews.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FleetGossip.java
@@ -21,16 +21,16 @@
  *
  * @param <M> the type of the message that carries updates and digests
  */
-public final class FleetNews<M extends PeerMessage> {
+public final class FleetGossip<M extends PeerMessage> {
 
 	/** The interval between two digests, each of them sent to one peer. */
 	static final Duration DIGEST_INTERVAL = Duration.ofSeconds(1);
 
 	private final PeerNetwork network;
 
-	private final NewsRoutes routes;
+	private final UpdateRoutes routes;
 
-	private final Beliefs<M> state;
+	private final State<M> state;
 
 	private int nextPeer;
 
@@ -42,7 +42,7 @@
 	 * @param type the type of the message
 	 * @param state the state that is exchanged
 	 */
-	public FleetNews(Scheduler scheduler, PeerNetwork network, NewsRoutes routes, Class<M> type, Beliefs<M> state) {
+	public FleetGossip(Scheduler scheduler, PeerNetwork network, UpdateRoutes routes, Class<M> type, State<M> state) {
 		this.network = network;
 		this.routes = routes;
 		this.state = state;
@@ -54,19 +54,19 @@
 	 * Sends an update that originates at this daemon.
 	 * @param message the update
 	 */
-	public void tell(M message) {
-		this.network.sendAll(this.routes.firstHand(), message);
+	public void publish(M message) {
+		this.network.sendAll(this.routes.originRecipients(), message);
 	}
 
 	private void receive(Incarnation from, M message) {
-		this.state.heard(from, message)
-			.ifPresent((update) -> this.network.sendAll(this.routes.passedOn(from.vm()), update));
+		this.state.merge(from, message)
+			.ifPresent((update) -> this.network.sendAll(this.routes.forwardRecipients(from.vm()), update));
 	}
 
 	private void sendDigest() {
 		List<VmId> peers = List.copyOf(this.network.connected());
 		if (!peers.isEmpty()) {
-			this.state.gist()
+			this.state.digest()
 				.ifPresent((digest) -> this.network.send(peers.get(this.nextPeer++ % peers.size()), digest));
 		}
 	}
@@ -76,7 +76,7 @@
 	 *
 	 * @param <M> the type of the message that carries it
 	 */
-	public interface Beliefs<M extends PeerMessage> {
+	public interface State<M extends PeerMessage> {
 
 		/**
 		 * Merges a peer's update or digest.
@@ -84,13 +84,13 @@
 		 * @param message its update or digest
 		 * @return the part that is new to this daemon, or empty if there is none
 		 */
-		Optional<M> heard(Incarnation from, M message);
+		Optional<M> merge(Incarnation from, M message);
 
 		/**
 		 * Returns what a daemon that has just started needs to know.
 		 * @return the digest, or empty if there is nothing to send
 		 */
-		Optional<M> gist();
+		Optional<M> digest();
 
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FollowedKind.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/ObjectCopies.java
@@ -20,7 +20,7 @@
  * a deletion can't distinguish a deleted object from one that it has not received yet.
  * Confined to the scheduler's thread.
  */
-public final class FollowedKind {
+public final class ObjectCopies {
 
 	/**
 	 * The most tombstones kept: some minutes of deletions when a whole fleet is replaced.
@@ -33,7 +33,7 @@
 	 */
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
-	private final Map<String, FollowedObject> copies = new HashMap<>();
+	private final Map<String, ObjectCopy> copies = new HashMap<>();
 
 	private final Listener listener;
 
@@ -45,7 +45,7 @@
 
 	private int deletions;
 
-	public FollowedKind(Listener listener) {
+	public ObjectCopies(Listener listener) {
 		this.listener = listener;
 	}
 
@@ -94,11 +94,11 @@
 		Set<String> missing = new HashSet<>(this.copies.keySet());
 		for (StoredObject object : list.changed()) {
 			missing.remove(object.key().name());
-			apply(new FollowedObject(object.key().name(), object.version(), object.value()));
+			apply(new ObjectCopy(object.key().name(), object.version(), object.value()));
 		}
 		missing.stream()
 			.filter((name) -> !this.copies.get(name).deleted())
-			.forEach((name) -> apply(new FollowedObject(name, list.revision(), null)));
+			.forEach((name) -> apply(new ObjectCopy(name, list.revision(), null)));
 		this.complete = list.revision();
 	}
 
@@ -108,10 +108,10 @@
 	 */
 	public void applyChanges(WatchBatch batch) {
 		for (StoredObject object : batch.changed()) {
-			apply(new FollowedObject(object.key().name(), object.version(), object.value()));
+			apply(new ObjectCopy(object.key().name(), object.version(), object.value()));
 		}
 		for (String name : batch.deleted()) {
-			apply(new FollowedObject(name, batch.revision(), null));
+			apply(new ObjectCopy(name, batch.revision(), null));
 		}
 		this.complete = Math.max(this.complete, batch.revision());
 	}
@@ -121,9 +121,9 @@
 	 * @param revision the revision
 	 * @return the copies, deletions included unless the revision is 0
 	 */
-	public List<FollowedObject> changedAfter(long revision) {
-		List<FollowedObject> result = new ArrayList<>();
-		for (FollowedObject copy : this.copies.values()) {
+	public List<ObjectCopy> changedAfter(long revision) {
+		List<ObjectCopy> result = new ArrayList<>();
+		for (ObjectCopy copy : this.copies.values()) {
 			if (copy.revision() > revision && !(revision == 0 && copy.deleted())) {
 				result.add(copy);
 			}
@@ -139,7 +139,7 @@
 	 * @return false if changes before the first revision are missing here, so that
 	 * nothing was applied
 	 */
-	public boolean applyFromPeer(long from, long to, List<FollowedObject> objects) {
+	public boolean applyFromPeer(long from, long to, List<ObjectCopy> objects) {
 		if (from > this.complete) {
 			return false;
 		}
@@ -148,8 +148,8 @@
 		return true;
 	}
 
-	private void apply(FollowedObject object) {
-		FollowedObject before = this.copies.get(object.name());
+	private void apply(ObjectCopy object) {
+		ObjectCopy before = this.copies.get(object.name());
 		if (before != null && before.revision() >= object.revision()) {
 			return;
 		}
@@ -168,7 +168,7 @@
 
 	private void purgeDeletions() {
 		if (this.deletions > MAX_DELETIONS) {
-			this.copies.values().removeIf(FollowedObject::deleted);
+			this.copies.values().removeIf(ObjectCopy::deleted);
 			this.deletions = 0;
 		}
 	}
@@ -183,7 +183,7 @@
 		 * Called on the scheduler's thread.
 		 * @param object the new copy, or the deletion
 		 */
-		void changed(FollowedObject object);
+		void changed(ObjectCopy object);
 
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FollowedObject.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/ObjectCopy.java
@@ -10,7 +10,7 @@
  * @param revision the platform's revision at which it last changed
  * @param value the bytes, or null if it was deleted
  */
-public record FollowedObject(String name, long revision, byte[] value) {
+public record ObjectCopy(String name, long revision, byte[] value) {
 
 	public boolean deleted() {
 		return this.value == null;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/PeerCopies.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/PeerCopies.java
@@ -65,9 +65,9 @@
 
 	private final PeerNetwork network;
 
-	private final Map<String, FollowedKind> kinds;
+	private final Map<String, ObjectCopies> kinds;
 
-	private final NewsRoutes routes;
+	private final UpdateRoutes routes;
 
 	private final DecisionLog log;
 
@@ -90,8 +90,8 @@
 	 * @param routes the recipients of updates
 	 * @param log takes a line for each change received
 	 */
-	public PeerCopies(Incarnation self, Scheduler scheduler, PeerNetwork network, Map<String, FollowedKind> kinds,
-			NewsRoutes routes, DecisionLog log) {
+	public PeerCopies(Incarnation self, Scheduler scheduler, PeerNetwork network, Map<String, ObjectCopies> kinds,
+			UpdateRoutes routes, DecisionLog log) {
 		this.scheduler = scheduler;
 		this.network = network;
 		this.kinds = Map.copyOf(kinds);
@@ -101,8 +101,8 @@
 				"queue", queue, "from", peer, "waited_ms", waitedMillis));
 		this.lastReceivedAt = scheduler.nanos();
 		this.lastOutageAt = scheduler.nanos() - Duration.ofDays(1).toNanos();
-		network.listen(CopiesHeld.class, this::receiveDigest);
-		network.listen(CopiesTold.class, this::receiveCopies);
+		network.listen(CopiesDigest.class, this::receiveDigest);
+		network.listen(CopiesUpdate.class, this::receiveCopies);
 	}
 
 	/**
@@ -110,7 +110,7 @@
 	 * @param builder the catalog
 	 */
 	public static void register(MessageCatalog.Builder builder) {
-		builder.add(101, CopiesHeld.class).add(102, CopiesTold.class);
+		builder.add(101, CopiesDigest.class).add(102, CopiesUpdate.class);
 	}
 
 	public void start() {
@@ -149,16 +149,16 @@
 	 */
 	public void push(String kind, long from, Duration sinceOutage, boolean first) {
 		this.lastOutageAt = Math.max(this.lastOutageAt, this.scheduler.nanos() - sinceOutage.toNanos());
-		CopiesTold message = copies(kind, this.kinds.get(kind), from, this.delays.forBroadcast());
+		CopiesUpdate message = copies(kind, this.kinds.get(kind), from, this.delays.forBroadcast());
 		if (first || message.objects().isEmpty()) {
-			broadcast(this.routes.firstHand(), message);
+			broadcast(this.routes.originRecipients(), message);
 		}
 		else {
-			this.scheduler.schedule(DIGEST_DELAY, () -> this.routes.firstHand().forEach(this::sendDigest));
+			this.scheduler.schedule(DIGEST_DELAY, () -> this.routes.originRecipients().forEach(this::sendDigest));
 		}
 	}
 
-	private void broadcast(Collection<VmId> to, CopiesTold message) {
+	private void broadcast(Collection<VmId> to, CopiesUpdate message) {
 		List<VmId> uncongested = new ArrayList<>();
 		to.forEach((vm) -> {
 			if (!this.network.congested(vm)) {
@@ -191,12 +191,12 @@
 		}
 	}
 
-	private CopiesTold copies(String kind, FollowedKind ours, long from, SendingTimes times) {
-		return new CopiesTold(kind, from, ours.complete(), age(ours), sinceOutage().toMillis(), ours.changedAfter(from),
-				times);
+	private CopiesUpdate copies(String kind, ObjectCopies ours, long from, SendingTimes times) {
+		return new CopiesUpdate(kind, from, ours.complete(), age(ours), sinceOutage().toMillis(),
+				ours.changedAfter(from), times);
 	}
 
-	private long age(FollowedKind ours) {
+	private long age(ObjectCopies ours) {
 		return Duration.ofNanos(this.scheduler.nanos() - ours.confirmedAt()).toMillis();
 	}
 
@@ -212,22 +212,22 @@
 				this.kinds.entrySet().stream().map((entry) -> digest(entry.getKey(), entry.getValue())).toList());
 	}
 
-	private void sendDigest(VmId vm, List<CopiesHeld.Held> digests) {
-		this.network.send(vm, new CopiesHeld(digests, this.delays.forPeer(vm)));
+	private void sendDigest(VmId vm, List<CopiesDigest.Held> digests) {
+		this.network.send(vm, new CopiesDigest(digests, this.delays.forPeer(vm)));
 	}
 
-	private CopiesHeld.Held digest(String kind, FollowedKind ours) {
-		return new CopiesHeld.Held(kind, ours.lastChange(), ours.complete(), age(ours));
+	private CopiesDigest.Held digest(String kind, ObjectCopies ours) {
+		return new CopiesDigest.Held(kind, ours.lastChange(), ours.complete(), age(ours));
 	}
 
-	private void receiveDigest(Incarnation from, CopiesHeld message) {
+	private void receiveDigest(Incarnation from, CopiesDigest message) {
 		this.lastReceivedAt = this.scheduler.nanos();
 		OptionalLong waited = this.delays.waitedMillis(from, message.times());
 		if (this.delays.lacksEcho(message.times())) {
 			sendDigest(from.vm());
 		}
-		for (CopiesHeld.Held theirs : message.kinds()) {
-			FollowedKind ours = this.kinds.get(theirs.kind());
+		for (CopiesDigest.Held theirs : message.kinds()) {
+			ObjectCopies ours = this.kinds.get(theirs.kind());
 			if (ours == null) {
 				continue;
 			}
@@ -250,14 +250,14 @@
 		}
 	}
 
-	private void receiveCopies(Incarnation from, CopiesTold message) {
+	private void receiveCopies(Incarnation from, CopiesUpdate message) {
 		this.lastReceivedAt = this.scheduler.nanos();
 		OptionalLong waited = this.delays.waitedMillis(from, message.times());
-		FollowedKind ours = this.kinds.get(message.kind());
+		ObjectCopies ours = this.kinds.get(message.kind());
 		if (ours == null) {
 			return;
 		}
-		List<FollowedObject> objects = (message.objects() != null) ? message.objects() : List.of();
+		List<ObjectCopy> objects = (message.objects() != null) ? message.objects() : List.of();
 		this.lastOutageAt = Math.max(this.lastOutageAt, millisAgo(message.outageMillis() + waited.orElse(0)));
 		long known = ours.lastChange();
 		if (!ours.applyFromPeer(message.from(), message.to(), objects)) {
@@ -274,13 +274,13 @@
 		}
 		// Most daemons of a large fleet forward nothing, and collecting the copies scans
 		// all of them.
-		Collection<VmId> recipients = (changed || fresher) ? this.routes.passedOn(from.vm()) : List.of();
+		Collection<VmId> recipients = (changed || fresher) ? this.routes.forwardRecipients(from.vm()) : List.of();
 		if (!recipients.isEmpty()) {
 			broadcast(recipients, copies(message.kind(), ours, message.from(), this.delays.forBroadcast()));
 		}
 	}
 
-	private void confirm(FollowedKind ours, long ageMillis, OptionalLong waited) {
+	private void confirm(ObjectCopies ours, long ageMillis, OptionalLong waited) {
 		waited.ifPresent((millis) -> ours.confirm(millisAgo(ageMillis + millis)));
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/StoreFollower.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/StoreFollower.java
@@ -93,7 +93,7 @@
 
 	private final ObjectStore store;
 
-	private final FollowedKind copies;
+	private final ObjectCopies copies;
 
 	private final FollowOrder order;
 
@@ -135,7 +135,7 @@
 	 * again
 	 */
 	public StoreFollower(String kind, Scheduler scheduler, RandomGenerator random, ObjectStore store,
-			FollowedKind copies, FollowOrder order, FollowTimes times, DecisionLog log) {
+			ObjectCopies copies, FollowOrder order, FollowTimes times, DecisionLog log) {
 		this.kind = kind;
 		this.scheduler = scheduler;
 		this.random = random;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/NewsRoutes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/UpdateRoutes.java
@@ -11,14 +11,14 @@
  * <p>
  * Confined to the scheduler's thread.
  */
-public interface NewsRoutes {
+public interface UpdateRoutes {
 
 	/**
 	 * The recipients of updates that originate at this daemon, such as what it read from
 	 * the store.
 	 * @return their VMs
 	 */
-	Collection<VmId> firstHand();
+	Collection<VmId> originRecipients();
 
 	/**
 	 * The peers to which an update of a peer is forwarded, so that it reaches every
@@ -26,6 +26,6 @@
 	 * @param from the peer
 	 * @return their VMs
 	 */
-	Collection<VmId> passedOn(VmId from);
+	Collection<VmId> forwardRecipients(VmId from);
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/hold/EngineOrders.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/hold/EngineOrders.java
@@ -54,7 +54,7 @@
 		 * @param engine the engine
 		 * @param notice the notice in its answer
 		 */
-		void heard(EndpointStart engine, EndpointNotice notice);
+		void received(EndpointStart engine, EndpointNotice notice);
 
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendCall.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendCall.java
@@ -61,7 +61,7 @@
 	}
 
 	@Override
-	public void reading(boolean on) {
+	public void setReading(boolean on) {
 		if (this.channel != null && !this.finished) {
 			this.channel.setReading(on);
 		}
@@ -83,7 +83,7 @@
 		CallerRequest original = this.request.original();
 		FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
 				HttpMethod.valueOf(original.method()), original.target(), Unpooled.wrappedBuffer(original.body()));
-		this.dialect.write(this.to, this.request, message.headers());
+		this.dialect.writeRequestHeaders(this.to, this.request, message.headers());
 		if (original.body().length > 0 || !bodiless(original.method())) {
 			message.headers().set(HttpHeaderNames.CONTENT_LENGTH, original.body().length);
 		}
@@ -95,12 +95,12 @@
 	}
 
 	boolean matches(HttpResponse response) {
-		return this.dialect.belongs(response, this.request.original());
+		return this.dialect.matches(response, this.request.original());
 	}
 
 	void head(HttpResponse response) {
 		if (!this.finished) {
-			BackendHead head = this.dialect.answer(response);
+			BackendHead head = this.dialect.readResponseHead(response);
 			this.listener.head(head);
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendChannel.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendChannel.java
@@ -29,7 +29,7 @@
 
 	private static final int FIRST_FINAL_STATUS = 200;
 
-	private final BackendConnections connections;
+	private final BackendConnectionPool connections;
 
 	private final EndpointStart endpoint;
 
@@ -47,7 +47,7 @@
 
 	private String failure;
 
-	BackendChannel(BackendConnections connections, EndpointStart endpoint, Channel channel) {
+	BackendChannel(BackendConnectionPool connections, EndpointStart endpoint, Channel channel) {
 		this.connections = connections;
 		this.endpoint = endpoint;
 		this.channel = channel;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendConnections.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/BackendConnectionPool.java
@@ -34,7 +34,7 @@
  * earlier start of an endpoint isn't used for a later one, which would only reset it.
  * Confined to the loop's thread.
  */
-public final class BackendConnections implements BackendClient, EndpointCheck {
+public final class BackendConnectionPool implements BackendClient, EndpointCheck {
 
 	/**
 	 * How long connecting may take. Endpoints are at most 2 ms away and accept in 1 ms;
@@ -77,11 +77,11 @@
 
 	private final Map<EndpointStart, Deque<BackendChannel>> idle = new HashMap<>();
 
-	private long opened;
+	private long openedCount;
 
-	private long reused;
+	private long reusedCount;
 
-	public BackendConnections(NettyLoop loop, WireDialect dialect) {
+	public BackendConnectionPool(NettyLoop loop, WireDialect dialect) {
 		this.loop = loop;
 		this.dialect = dialect;
 	}
@@ -91,7 +91,7 @@
 		BackendCall call = new BackendCall(this.dialect, to, request, listener);
 		BackendChannel reused = request.freshConnection() ? null : takeIdle(to.start());
 		if (reused != null) {
-			this.reused++;
+			this.reusedCount++;
 			this.loop.execute(() -> {
 				if (reused.isReusable()) {
 					reused.send(call);
@@ -102,7 +102,7 @@
 			});
 		}
 		else {
-			this.opened++;
+			this.openedCount++;
 			connect(to, call);
 		}
 		return call;
@@ -129,16 +129,16 @@
 	 * Returns the number of connections that were opened.
 	 * @return the number
 	 */
-	public long opened() {
-		return this.opened;
+	public long openedCount() {
+		return this.openedCount;
 	}
 
 	/**
 	 * Returns the number of requests sent on a reused connection.
 	 * @return the number
 	 */
-	public long reused() {
-		return this.reused;
+	public long reusedCount() {
+		return this.reusedCount;
 	}
 
 	void release(EndpointStart start, BackendChannel channel) {
@@ -176,7 +176,7 @@
 				protected void initChannel(Channel channel) {
 					channel.pipeline()
 						.addLast(new HttpClientCodec(MAX_INITIAL_LINE_LENGTH, MAX_HEADER_SIZE, MAX_CHUNK_SIZE))
-						.addLast(new BackendChannel(BackendConnections.this, to.start(), channel));
+						.addLast(new BackendChannel(BackendConnectionPool.this, to.start(), channel));
 				}
 
 			});
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/CallerChannel.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/CallerChannel.java
@@ -212,7 +212,7 @@
 		this.timer.cancel();
 		CallerRequest parsed;
 		try {
-			parsed = this.server.dialect().request(request, this.body.toByteArray());
+			parsed = this.server.dialect().readRequest(request, this.body.toByteArray());
 		}
 		catch (WireDialect.BadRequestException ex) {
 			logger.debugf("Rejected a malformed request: %s", ex.getMessage());
@@ -222,7 +222,7 @@
 		this.body.reset();
 		this.reply = new ChannelReply(this, request);
 		ChannelReply current = this.reply;
-		Runnable disconnectTask = this.server.requests().take(parsed, current);
+		Runnable disconnectTask = this.server.requests().handle(parsed, current);
 		if (this.reply == current) {
 			this.onDisconnect = disconnectTask;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/ChannelReply.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/ChannelReply.java
@@ -76,7 +76,7 @@
 	}
 
 	@Override
-	public void whole(int status, List<Header> headers, byte[] body) {
+	public void sendResponse(int status, List<Header> headers, byte[] body) {
 		if (this.finished) {
 			return;
 		}
@@ -89,7 +89,7 @@
 	}
 
 	@Override
-	public void own(int status, String reason, Duration retryAfter) {
+	public void sendOwnResponse(int status, String reason, Duration retryAfter) {
 		if (this.finished) {
 			return;
 		}
@@ -108,7 +108,7 @@
 	}
 
 	@Override
-	public void begin(int status, List<Header> headers) {
+	public void startStream(int status, List<Header> headers) {
 		if (this.finished) {
 			return;
 		}
@@ -131,12 +131,12 @@
 	}
 
 	@Override
-	public void onReadsAgain(Runnable task) {
+	public void onWritable(Runnable task) {
 		this.writableCallback = task;
 	}
 
 	@Override
-	public void end() {
+	public void endStream() {
 		if (this.finished) {
 			return;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/PassedHeaders.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/EndToEndHeaders.java
@@ -17,13 +17,13 @@
  * <p>
  * Stateless and safe for use by multiple threads.
  */
-public final class PassedHeaders {
+public final class EndToEndHeaders {
 
 	private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection",
 			"proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
 			"content-length", "expect");
 
-	private PassedHeaders() {
+	private EndToEndHeaders() {
 	}
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/JsonClient.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/JsonClient.java
@@ -64,8 +64,8 @@
 	 * @return completes with the response, or with an {@link IOException} if there was
 	 * none
 	 */
-	public CompletableFuture<Answer> call(HttpMethod method, String target, byte[] body, Duration limit) {
-		CompletableFuture<Answer> result = new CompletableFuture<>();
+	public CompletableFuture<Response> call(HttpMethod method, String target, byte[] body, Duration limit) {
+		CompletableFuture<Response> result = new CompletableFuture<>();
 		FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, target,
 				Unpooled.wrappedBuffer(body));
 		request.headers().set(HttpHeaderNames.HOST, this.address.toString());
@@ -93,7 +93,7 @@
 		return null;
 	}
 
-	private void connect(FullHttpRequest request, CompletableFuture<Answer> result, Duration limit) {
+	private void connect(FullHttpRequest request, CompletableFuture<Response> result, Duration limit) {
 		new Bootstrap().group(this.loop.group())
 			.channel(this.loop.channel())
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
@@ -130,7 +130,7 @@
 	 * @param headers the headers
 	 * @param body the body
 	 */
-	public record Answer(int status, HttpHeaders headers, byte[] body) {
+	public record Response(int status, HttpHeaders headers, byte[] body) {
 
 		@Override
 		public String toString() {
@@ -159,7 +159,7 @@
 
 		private final Channel channel;
 
-		private CompletableFuture<Answer> result;
+		private CompletableFuture<Response> result;
 
 		private Cancellable timer = () -> {
 		};
@@ -168,7 +168,7 @@
 			this.channel = channel;
 		}
 
-		private void send(FullHttpRequest request, CompletableFuture<Answer> result, Duration limit) {
+		private void send(FullHttpRequest request, CompletableFuture<Response> result, Duration limit) {
 			this.result = result;
 			this.timer = JsonClient.this.loop.schedule(limit, () -> fail("no response within " + limit));
 			this.channel.writeAndFlush(request).addListener((future) -> {
@@ -186,7 +186,7 @@
 			}
 			byte[] body = new byte[response.content().readableBytes()];
 			response.content().readBytes(body);
-			CompletableFuture<Answer> completed = this.result;
+			CompletableFuture<Response> completed = this.result;
 			this.result = null;
 			this.timer.cancel();
 			if (HttpUtil.isKeepAlive(response) && JsonClient.this.idle.size() < MAX_IDLE_CONNECTIONS) {
@@ -195,7 +195,7 @@
 			else {
 				this.channel.close();
 			}
-			completed.complete(new Answer(response.status().code(), response.headers(), body));
+			completed.complete(new Response(response.status().code(), response.headers(), body));
 		}
 
 		@Override
@@ -214,7 +214,7 @@
 			this.channel.close();
 			JsonClient.this.idle.remove(this);
 			if (this.result != null) {
-				CompletableFuture<Answer> pending = this.result;
+				CompletableFuture<Response> pending = this.result;
 				this.result = null;
 				pending.completeExceptionally(new IOException(JsonClient.this.address + ": " + cause));
 			}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/AnswerServer.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/SimpleHttpServer.java
@@ -34,7 +34,7 @@
  * {@link #listen} blocks and must not be called on the loop's thread; the handler is
  * called there.
  */
-public final class AnswerServer {
+public final class SimpleHttpServer {
 
 	private static final int MAX_REQUEST_BYTES = 65_536;
 
@@ -42,14 +42,14 @@
 
 	private final NettyLoop loop;
 
-	private final Function<Question, Reply> handler;
+	private final Function<Request, Response> handler;
 
 	/**
 	 * Creates a server.
 	 * @param loop the daemon's loop
 	 * @param handler returns the response to a request
 	 */
-	public AnswerServer(NettyLoop loop, Function<Question, Reply> handler) {
+	public SimpleHttpServer(NettyLoop loop, Function<Request, Response> handler) {
 		this.loop = loop;
 		this.handler = handler;
 	}
@@ -90,14 +90,14 @@
 	 * @param path the path
 	 * @param query the query
 	 */
-	public record Question(String method, String path, QueryStringDecoder query) {
+	public record Request(String method, String path, QueryStringDecoder query) {
 
 		/**
 		 * Returns a query parameter.
 		 * @param name its name
 		 * @return its first value, or an empty string
 		 */
-		public String value(String name) {
+		public String parameter(String name) {
 			return this.query.parameters().getOrDefault(name, java.util.List.of("")).get(0);
 		}
 
@@ -110,10 +110,10 @@
 	 * @param type the media type
 	 * @param body the body
 	 */
-	public record Reply(int status, String type, byte[] body) {
+	public record Response(int status, String type, byte[] body) {
 
 		/** The response for a path that doesn't exist. */
-		public static final Reply NOT_FOUND = new Reply(404, "text/plain", new byte[0]);
+		public static final Response NOT_FOUND = new Response(404, "text/plain", new byte[0]);
 
 	}
 
@@ -125,7 +125,8 @@
 		@Override
 		protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
 			QueryStringDecoder query = new QueryStringDecoder(request.uri());
-			Reply reply = AnswerServer.this.handler.apply(new Question(request.method().name(), query.path(), query));
+			Response reply = SimpleHttpServer.this.handler
+				.apply(new Request(request.method().name(), query.path(), query));
 			FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
 					HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
 			response.headers().set(HttpHeaderNames.CONTENT_TYPE, reply.type());
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/WireDialect.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/WireDialect.java
@@ -24,7 +24,7 @@
 	 * @return the request
 	 * @throws BadRequestException if a field that the product needs can't be read
 	 */
-	CallerRequest request(HttpRequest head, byte[] body) throws BadRequestException;
+	CallerRequest readRequest(HttpRequest head, byte[] body) throws BadRequestException;
 
 	/**
 	 * Writes the headers of a request to an endpoint, except for those that frame the
@@ -33,7 +33,7 @@
 	 * @param request the request
 	 * @param headers receives the headers
 	 */
-	void write(Backend to, OutgoingRequest request, HttpHeaders headers);
+	void writeRequestHeaders(Backend to, OutgoingRequest request, HttpHeaders headers);
 
 	/**
 	 * Whether an endpoint's response belongs to a request.
@@ -41,14 +41,14 @@
 	 * @param request the request
 	 * @return false if it is a late response to another one
 	 */
-	boolean belongs(HttpResponse response, CallerRequest request);
+	boolean matches(HttpResponse response, CallerRequest request);
 
 	/**
 	 * Reads the head of an endpoint's response.
 	 * @param response the head
 	 * @return the typed head
 	 */
-	BackendHead answer(HttpResponse response);
+	BackendHead readResponseHead(HttpResponse response);
 
 	/**
 	 * Thrown if a field of a caller's request can't be read.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/EndpointLimits.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/EndpointLimits.java
@@ -22,7 +22,7 @@
 		}
 
 		@Override
-		public boolean open(EndpointStart endpoint) {
+		public boolean permits(EndpointStart endpoint) {
 			return true;
 		}
 
@@ -50,7 +50,7 @@
 	 * @param endpoint the endpoint
 	 * @return false if it names a limit and this daemon's share of it is used up
 	 */
-	boolean open(EndpointStart endpoint);
+	boolean permits(EndpointStart endpoint);
 
 	/**
 	 * Counts a request that is sent to an endpoint.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/FleetLimits.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/FleetLimits.java
@@ -8,8 +8,8 @@
 import com.codahale.metrics.MetricRegistry;
 import org.bramleyscale.Incarnation;
 import org.bramleyscale.internal.gateway.backend.EndpointStart;
-import org.bramleyscale.internal.gateway.follow.FleetNews;
-import org.bramleyscale.internal.gateway.follow.NewsRoutes;
+import org.bramleyscale.internal.gateway.follow.FleetGossip;
+import org.bramleyscale.internal.gateway.follow.UpdateRoutes;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.peer.MessageCatalog;
 import org.bramleyscale.internal.peer.PeerNetwork;
@@ -25,7 +25,7 @@
  * it. In addition, each daemon repeats the limits that it knows to one peer after
  * another, for peers that have just started. Confined to the scheduler's thread.
  */
-public final class FleetLimits implements EndpointLimits, FleetNews.Beliefs<LimitsTold> {
+public final class FleetLimits implements EndpointLimits, FleetGossip.State<LimitsUpdate> {
 
 	/** Maximum number of limits in a repeated message: 40 bytes each, 1.6 KB a second. */
 	private static final int MAX_REPEATED = 40;
@@ -34,7 +34,7 @@
 
 	private final Scheduler scheduler;
 
-	private final FleetNews<LimitsTold> broadcaster;
+	private final FleetGossip<LimitsUpdate> broadcaster;
 
 	private final DecisionLog log;
 
@@ -49,12 +49,12 @@
 	 * @param log the decision log
 	 * @param metrics the metric registry
 	 */
-	public FleetLimits(Scheduler scheduler, PeerNetwork network, NewsRoutes routes, LimitHolders holders,
+	public FleetLimits(Scheduler scheduler, PeerNetwork network, UpdateRoutes routes, LimitHolders holders,
 			DecisionLog log, MetricRegistry metrics) {
 		this.scheduler = scheduler;
 		this.log = log;
 		this.registry = new LimitRegistry(scheduler, holders);
-		this.broadcaster = new FleetNews<>(scheduler, network, routes, LimitsTold.class, this);
+		this.broadcaster = new FleetGossip<>(scheduler, network, routes, LimitsUpdate.class, this);
 		metrics.gauge("gateway.limits.named", () -> this.registry::size);
 	}
 
@@ -63,7 +63,7 @@
 	 * @param builder the message catalog
 	 */
 	public static void register(MessageCatalog.Builder builder) {
-		builder.add(106, LimitsTold.class);
+		builder.add(106, LimitsUpdate.class);
 	}
 
 	/**
@@ -80,7 +80,7 @@
 	}
 
 	@Override
-	public boolean open(EndpointStart endpoint) {
+	public boolean permits(EndpointStart endpoint) {
 		return this.registry.open(endpoint);
 	}
 
@@ -97,23 +97,23 @@
 			return;
 		}
 		long now = this.scheduler.nanos();
-		double reported = perSecond.orElse(LimitsTold.Limit.UNLIMITED);
+		double reported = perSecond.orElse(LimitsUpdate.Limit.UNLIMITED);
 		if (this.registry.update(endpoint, reported, now)) {
 			this.log.belief("endpoint", endpoint, "limit", reported);
-			this.broadcaster.tell(new LimitsTold(List.of(this.registry.toMessage(endpoint))));
+			this.broadcaster.publish(new LimitsUpdate(List.of(this.registry.toMessage(endpoint))));
 		}
 	}
 
 	@Override
-	public Optional<LimitsTold> gist() {
+	public Optional<LimitsUpdate> digest() {
 		this.registry.expire();
 		return toMessage(this.registry.newest(MAX_REPEATED));
 	}
 
 	@Override
-	public Optional<LimitsTold> heard(Incarnation from, LimitsTold message) {
-		List<LimitsTold.Limit> updated = new ArrayList<>();
-		for (LimitsTold.Limit limit : (message.limits() != null) ? message.limits() : List.<LimitsTold.Limit>of()) {
+	public Optional<LimitsUpdate> merge(Incarnation from, LimitsUpdate message) {
+		List<LimitsUpdate.Limit> updated = new ArrayList<>();
+		for (LimitsUpdate.Limit limit : (message.limits() != null) ? message.limits() : List.<LimitsUpdate.Limit>of()) {
 			EndpointStart endpoint = EndpointStart.parse(limit.endpoint());
 			long at = this.scheduler.nanos() - limit.ageMillis() * NANOS_PER_MILLI;
 			if (this.registry.update(endpoint, limit.perSecond(), at)) {
@@ -125,8 +125,8 @@
 		return toMessage(updated);
 	}
 
-	private static Optional<LimitsTold> toMessage(List<LimitsTold.Limit> limits) {
-		return limits.isEmpty() ? Optional.empty() : Optional.of(new LimitsTold(limits));
+	private static Optional<LimitsUpdate> toMessage(List<LimitsUpdate.Limit> limits) {
+		return limits.isEmpty() ? Optional.empty() : Optional.of(new LimitsUpdate(limits));
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/LimitRegistry.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/LimitRegistry.java
@@ -84,7 +84,7 @@
 			return false;
 		}
 		if (known == null) {
-			if (perSecond == LimitsTold.Limit.UNLIMITED || expired(at)) {
+			if (perSecond == LimitsUpdate.Limit.UNLIMITED || expired(at)) {
 				return false;
 			}
 			known = new Limit();
@@ -142,8 +142,8 @@
 	 * @param max the maximum number of limits
 	 * @return the limits, newest first
 	 */
-	List<LimitsTold.Limit> newest(int max) {
-		List<LimitsTold.Limit> all = new ArrayList<>();
+	List<LimitsUpdate.Limit> newest(int max) {
+		List<LimitsUpdate.Limit> all = new ArrayList<>();
 		this.limits.entrySet()
 			.stream()
 			.sorted((left, right) -> Long.compare(right.getValue().reportedAt, left.getValue().reportedAt))
@@ -152,7 +152,7 @@
 		return all;
 	}
 
-	LimitsTold.Limit toMessage(EndpointStart endpoint) {
+	LimitsUpdate.Limit toMessage(EndpointStart endpoint) {
 		return toMessage(endpoint, this.limits.get(endpoint));
 	}
 
@@ -160,14 +160,15 @@
 		return this.limits.size();
 	}
 
-	private LimitsTold.Limit toMessage(EndpointStart endpoint, Limit limit) {
+	private LimitsUpdate.Limit toMessage(EndpointStart endpoint, Limit limit) {
 		long age = Duration.ofNanos(this.clock.nanos() - limit.reportedAt).toMillis();
-		return new LimitsTold.Limit(endpoint.toString(), limit.perSecond, age);
+		return new LimitsUpdate.Limit(endpoint.toString(), limit.perSecond, age);
 	}
 
 	private Limit current(EndpointStart endpoint) {
 		Limit limit = this.limits.get(endpoint);
-		boolean limited = limit != null && limit.perSecond != LimitsTold.Limit.UNLIMITED && !expired(limit.reportedAt);
+		boolean limited = limit != null && limit.perSecond != LimitsUpdate.Limit.UNLIMITED
+				&& !expired(limit.reportedAt);
 		return limited ? limit : null;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/LimitsTold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/LimitsUpdate.java
@@ -11,7 +11,7 @@
  * @param limits the limits
  */
 @MessageName("LimitsTold")
-public record LimitsTold(List<Limit> limits) implements PeerMessage {
+public record LimitsUpdate(List<Limit> limits) implements PeerMessage {
 
 	/**
 	 * The limit that an endpoint last reported.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/DemandBoard.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/DemandTracker.java
@@ -15,10 +15,10 @@
  * prefill work that waits at daemons.
  *
  * <p>
- * Invariant: the demand of a peer expires {@link LoadBoard#PEER_EXPIRY} after its last
+ * Invariant: the demand of a peer expires {@link LoadTracker#PEER_EXPIRY} after its last
  * update. Confined to the scheduler's thread.
  */
-public final class DemandBoard {
+public final class DemandTracker {
 
 	private final Clock clock;
 
@@ -26,7 +26,7 @@
 
 	private final Map<String, PeerDemand> peers = new HashMap<>();
 
-	public DemandBoard(Clock clock) {
+	public DemandTracker(Clock clock) {
 		this.clock = clock;
 	}
 
@@ -70,7 +70,7 @@
 	public double waitingAhead(ServiceName service, double prefillMillis) {
 		LocalDemand localDemand = local(service);
 		double sum = prefillAhead(localDemand.waiting, localDemand.waitingMillis, prefillMillis);
-		for (LoadTold.Demand demand : peerDemands(service)) {
+		for (LoadUpdate.Demand demand : peerDemands(service)) {
 			sum += prefillAhead(demand.waiting(), demand.waitingMillis(), prefillMillis);
 		}
 		return sum;
@@ -87,15 +87,15 @@
 	 */
 	public int shortActive(ServiceName service) {
 		int sum = local(service).shortActive;
-		for (LoadTold.Demand demand : peerDemands(service)) {
+		for (LoadUpdate.Demand demand : peerDemands(service)) {
 			sum += demand.shortActive();
 		}
 		return sum;
 	}
 
-	public List<LoadTold.Demand> demands() {
-		List<LoadTold.Demand> demands = new ArrayList<>();
-		this.local.forEach((service, demand) -> demands.add(new LoadTold.Demand(service.value(), demand.shortActive,
+	public List<LoadUpdate.Demand> demands() {
+		List<LoadUpdate.Demand> demands = new ArrayList<>();
+		this.local.forEach((service, demand) -> demands.add(new LoadUpdate.Demand(service.value(), demand.shortActive,
 				demand.waiting, (int) Math.round(demand.waitingMillis))));
 		return demands;
 	}
@@ -105,15 +105,15 @@
 	 * @param source a peer, or a group of peers
 	 * @param demands the demand by service
 	 */
-	public void told(String source, List<LoadTold.Demand> demands) {
+	public void replace(String source, List<LoadUpdate.Demand> demands) {
 		this.peers.put(source, new PeerDemand(this.clock.nanos(), demands));
 	}
 
-	private List<LoadTold.Demand> peerDemands(ServiceName service) {
-		List<LoadTold.Demand> result = new ArrayList<>();
+	private List<LoadUpdate.Demand> peerDemands(ServiceName service) {
+		List<LoadUpdate.Demand> result = new ArrayList<>();
 		Set<String> expired = new HashSet<>();
 		this.peers.forEach((source, peerDemand) -> {
-			if (this.clock.nanos() - peerDemand.receivedAt() > LoadBoard.PEER_EXPIRY.toNanos()) {
+			if (this.clock.nanos() - peerDemand.receivedAt() > LoadTracker.PEER_EXPIRY.toNanos()) {
 				expired.add(source);
 				return;
 			}
@@ -136,7 +136,7 @@
 	 * @param receivedAt when the report arrived
 	 * @param demands the demand by service
 	 */
-	private record PeerDemand(long receivedAt, List<LoadTold.Demand> demands) {
+	private record PeerDemand(long receivedAt, List<LoadUpdate.Demand> demands) {
 	}
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/EndpointLoad.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/EndpointLoad.java
@@ -8,13 +8,13 @@
  * Immutable and safe for use by multiple threads.
  *
  * @param active requests sent to the endpoint that have not ended
- * @param readMillis the remaining prefill of prompts and parts of prompts, ms
+ * @param prefillMillis the remaining prefill of prompts and parts of prompts, ms
  * @param tokens KV-cache tokens that are or will be in its memory
  * @param helping requests of other endpoints whose prompts it helps to prefill
  * @param pauseMillis the longest pause that its most sensitive stream permits, ms, or
  * {@link #ANY_PAUSE}
  */
-public record EndpointLoad(int active, double readMillis, long tokens, int helping, int pauseMillis) {
+public record EndpointLoad(int active, double prefillMillis, long tokens, int helping, int pauseMillis) {
 
 	/** No stream on the endpoint limits its pauses. */
 	public static final int ANY_PAUSE = Integer.MAX_VALUE;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadExchange.java
@@ -45,7 +45,7 @@
 	 * The delay before an update is sent, which combines changes that follow each other
 	 * closely.
 	 */
-	public static final Duration GATHER = Duration.ofMillis(20);
+	public static final Duration BATCH_DELAY = Duration.ofMillis(20);
 
 	/**
 	 * The interval between the sums of a relay. A small machine has 14 Mbit/s; with 72
@@ -62,12 +62,12 @@
 
 	/**
 	 * The interval between updates while nothing changes, for peers that missed one. A
-	 * daemon's load expires {@link LoadBoard#PEER_EXPIRY} after its last update.
+	 * daemon's load expires {@link LoadTracker#PEER_EXPIRY} after its last update.
 	 */
-	public static final Duration PAUSE = Duration.ofMillis(300);
+	public static final Duration UPDATE_INTERVAL = Duration.ofMillis(300);
 
 	/** The number of updates that may still be part of a sum. */
-	private static final int RETAINED_UPDATES = (int) LoadBoard.PEER_EXPIRY.dividedBy(GATHER);
+	private static final int RETAINED_UPDATES = (int) LoadTracker.PEER_EXPIRY.dividedBy(BATCH_DELAY);
 
 	private static final String FLEET = "fleet";
 
@@ -77,11 +77,11 @@
 
 	private final VmId self;
 
-	private final LoadRoutes routes;
+	private final LoadTopology routes;
 
-	private final LoadBoard loads;
+	private final LoadTracker loads;
 
-	private final DemandBoard demands;
+	private final DemandTracker demands;
 
 	private final Map<VmId, RemoteLoad> memberLoads = new HashMap<>();
 
@@ -91,7 +91,7 @@
 
 	private final UnresponsivePeers unresponsivePeers;
 
-	private final Deque<LoadTold> recentUpdates = new ArrayDeque<>();
+	private final Deque<LoadUpdate> recentUpdates = new ArrayDeque<>();
 
 	private final SumDelta toRelays = new SumDelta();
 
@@ -110,8 +110,8 @@
 	 * @param loads the load by endpoint
 	 * @param demands the demand by service
 	 */
-	public LoadExchange(Scheduler scheduler, PeerNetwork network, VmId self, LoadRoutes routes, LoadBoard loads,
-			DemandBoard demands) {
+	public LoadExchange(Scheduler scheduler, PeerNetwork network, VmId self, LoadTopology routes, LoadTracker loads,
+			DemandTracker demands) {
 		this.scheduler = scheduler;
 		this.network = network;
 		this.self = self;
@@ -119,8 +119,8 @@
 		this.loads = loads;
 		this.demands = demands;
 		this.unresponsivePeers = new UnresponsivePeers(scheduler);
-		network.listen(LoadTold.class, this::onUpdate);
-		network.listen(LoadSummed.class, this::onSum);
+		network.listen(LoadUpdate.class, this::onUpdate);
+		network.listen(LoadSummary.class, this::onSum);
 	}
 
 	/**
@@ -128,19 +128,19 @@
 	 * @param builder the catalog
 	 */
 	public static void register(MessageCatalog.Builder builder) {
-		builder.add(103, LoadTold.class).add(104, LoadSummed.class);
+		builder.add(103, LoadUpdate.class).add(104, LoadSummary.class);
 	}
 
 	public void start() {
 		this.loads.onChange(this::scheduleUpdate);
-		this.scheduler.repeat(PAUSE, this::tell);
+		this.scheduler.repeat(UPDATE_INTERVAL, this::sendUpdate);
 		this.scheduler.repeat(SUM_INTERVAL, this::sendSums);
 	}
 
 	private void scheduleUpdate() {
 		if (!this.updateScheduled) {
 			this.updateScheduled = true;
-			this.scheduler.schedule(GATHER, this::tell);
+			this.scheduler.schedule(BATCH_DELAY, this::sendUpdate);
 		}
 	}
 
@@ -148,10 +148,10 @@
 	 * Sends an update now. Called when a long prompt has been sent, so that other daemons
 	 * take it into account without delay.
 	 */
-	public void tell() {
+	public void sendUpdate() {
 		this.updateScheduled = false;
 		this.unresponsivePeers.restartTimeoutsAfterPause();
-		LoadTold message = new LoadTold(++this.sequence, this.loads.shares(), this.demands.demands());
+		LoadUpdate message = new LoadUpdate(++this.sequence, this.loads.shares(), this.demands.demands());
 		this.recentUpdates.addLast(message);
 		if (this.recentUpdates.size() > RETAINED_UPDATES) {
 			this.recentUpdates.removeFirst();
@@ -190,7 +190,7 @@
 	 * @param vm the daemon's VM
 	 * @return true if its updates have stopped
 	 */
-	public boolean unheard(VmId vm) {
+	public boolean isUnresponsive(VmId vm) {
 		return this.unresponsivePeers.isUnresponsive(vm);
 	}
 
@@ -209,7 +209,7 @@
 		}
 		long now = this.scheduler.nanos();
 		List.of(this.memberLoads, this.relayLoads, this.dataCentreLoads)
-			.forEach((works) -> works.values().removeIf((load) -> load.expired(LoadBoard.PEER_EXPIRY, now)));
+			.forEach((works) -> works.values().removeIf((load) -> load.expired(LoadTracker.PEER_EXPIRY, now)));
 		LoadSum sum = new LoadSum();
 		Map<String, Long> included = new HashMap<>();
 		this.memberLoads.forEach((vm, load) -> {
@@ -222,12 +222,12 @@
 		this.relayLoads.values().forEach((load) -> sum.accumulate(load.shares(now), load.demands(), 1));
 		this.dataCentreLoads.values().forEach((load) -> sum.accumulate(load.shares(now), load.demands(), 1));
 		this.toMembers.next(sum, true, included, unresponsiveRelays())
-			.ifPresent((message) -> sendUnlessCongested(this.routes.near(), message));
+			.ifPresent((message) -> sendUnlessCongested(this.routes.members(), message));
 	}
 
 	private Set<VmId> unresponsiveRelays() {
 		Set<VmId> unresponsive = new TreeSet<>(Comparator.comparing(VmId::value));
-		otherRelays().stream().filter(this::unheard).forEach(unresponsive::add);
+		otherRelays().stream().filter(this::isUnresponsive).forEach(unresponsive::add);
 		return unresponsive;
 	}
 
@@ -236,7 +236,7 @@
 	 * @param message the sum
 	 * @return the update, or empty if the sum includes none or it is no longer retained
 	 */
-	private Optional<LoadTold> ownUpdate(LoadSummed message) {
+	private Optional<LoadUpdate> ownUpdate(LoadSummary message) {
 		Long ownSequence = (message.included() != null) ? message.included().get(this.self.value()) : null;
 		if (ownSequence == null) {
 			return Optional.empty();
@@ -244,37 +244,37 @@
 		return this.recentUpdates.stream().filter((update) -> update.sequence() == ownSequence).findFirst();
 	}
 
-	private static List<LoadTold.Share> sharesWithout(Optional<LoadTold> own, List<LoadTold.Share> sum) {
+	private static List<LoadUpdate.Share> sharesWithout(Optional<LoadUpdate> own, List<LoadUpdate.Share> sum) {
 		if (own.isEmpty()) {
 			return sum;
 		}
-		Map<String, LoadTold.Share> ownShares = new HashMap<>();
+		Map<String, LoadUpdate.Share> ownShares = new HashMap<>();
 		own.get().shares().forEach((share) -> ownShares.put(share.endpoint(), share));
-		List<LoadTold.Share> others = new ArrayList<>(sum.size());
-		for (LoadTold.Share share : sum) {
-			LoadTold.Share part = ownShares.get(share.endpoint());
+		List<LoadUpdate.Share> others = new ArrayList<>(sum.size());
+		for (LoadUpdate.Share share : sum) {
+			LoadUpdate.Share part = ownShares.get(share.endpoint());
 			others.add((part != null) ? share.minus(part) : share);
 		}
 		return others;
 	}
 
-	private static List<LoadTold.Demand> demandsWithout(Optional<LoadTold> own, List<LoadTold.Demand> all) {
+	private static List<LoadUpdate.Demand> demandsWithout(Optional<LoadUpdate> own, List<LoadUpdate.Demand> all) {
 		LoadSum sum = new LoadSum().accumulate(List.of(), all, 1);
 		own.ifPresent((update) -> sum.accumulate(List.of(), update.demands(), -1));
 		return sum.demands();
 	}
 
-	private void onUpdate(Incarnation from, LoadTold message) {
-		List<LoadTold.Share> shares = orEmpty(message.shares());
-		List<LoadTold.Demand> peerDemands = orEmpty(message.demands());
+	private void onUpdate(Incarnation from, LoadUpdate message) {
+		List<LoadUpdate.Share> shares = orEmpty(message.shares());
+		List<LoadUpdate.Demand> peerDemands = orEmpty(message.demands());
 		if (this.routes.flat() || this.routes.isRelay()) {
 			this.unresponsivePeers.received(from.vm());
 			boolean relay = isRelay(from.vm());
 			(relay ? this.memberLoads : this.relayLoads).remove(from.vm());
 			(relay ? this.relayLoads : this.memberLoads).computeIfAbsent(from.vm(), (vm) -> new RemoteLoad())
 				.update(true, message.sequence(), shares, peerDemands, this.scheduler.nanos());
-			this.loads.told(from.vm().value(), shares);
-			this.demands.told(from.vm().value(), peerDemands);
+			this.loads.replace(from.vm().value(), shares);
+			this.demands.replace(from.vm().value(), peerDemands);
 		}
 	}
 
@@ -290,27 +290,27 @@
 		return !sameDataCentre || this.routes.relays().contains(vm);
 	}
 
-	private void onSum(Incarnation from, LoadSummed message) {
+	private void onSum(Incarnation from, LoadSummary message) {
 		if (this.routes.flat() || message.fleet() == this.routes.isRelay()) {
 			// Relays compute the sum over the fleet themselves, and the sums that relays
 			// exchange are for relays only.
 			return;
 		}
-		Optional<LoadTold> own = ownUpdate(message);
-		List<LoadTold.Share> others = sharesWithout(own, orEmpty(message.shares()));
-		List<LoadTold.Demand> otherDemands = demandsWithout(own, orEmpty(message.demands()));
+		Optional<LoadUpdate> own = ownUpdate(message);
+		List<LoadUpdate.Share> others = sharesWithout(own, orEmpty(message.shares()));
+		List<LoadUpdate.Demand> otherDemands = demandsWithout(own, orEmpty(message.demands()));
 		String source = message.fleet() ? FLEET : this.routes.dataCentre(from.vm());
 		if (!message.fleet()) {
 			this.dataCentreLoads.computeIfAbsent(source, (dataCentre) -> new RemoteLoad())
 				.update(message.full(), 0, others, otherDemands, this.scheduler.nanos());
 		}
 		if (message.full()) {
-			this.loads.told(source, others);
+			this.loads.replace(source, others);
 		}
 		else {
 			this.loads.merge(source, others);
 		}
-		this.demands.told(source, otherDemands);
+		this.demands.replace(source, otherDemands);
 		this.unresponsivePeers.relayReported((message.unresponsive() != null) ? message.unresponsive() : Set.of());
 	}
 
@@ -323,7 +323,7 @@
 	 */
 	private static final class SumDelta {
 
-		private Map<String, LoadTold.Share> last = Map.of();
+		private Map<String, LoadUpdate.Share> last = Map.of();
 
 		private Set<VmId> unresponsive = Set.of();
 
@@ -332,29 +332,29 @@
 		/**
 		 * Returns the next message.
 		 * @param sum the sum
-		 * @param fleet see {@link LoadSummed}
-		 * @param included see {@link LoadSummed}
-		 * @param unresponsive see {@link LoadSummed}
+		 * @param fleet see {@link LoadSummary}
+		 * @param included see {@link LoadSummary}
+		 * @param unresponsive see {@link LoadSummary}
 		 * @return the message, or empty if nothing has changed and no full sum is due
 		 */
-		Optional<LoadSummed> next(LoadSum sum, boolean fleet, Map<String, Long> included, Set<VmId> unresponsive) {
-			Map<String, LoadTold.Share> current = new HashMap<>(sum.shares());
+		Optional<LoadSummary> next(LoadSum sum, boolean fleet, Map<String, Long> included, Set<VmId> unresponsive) {
+			Map<String, LoadUpdate.Share> current = new HashMap<>(sum.shares());
 			boolean full = ++this.sinceFull >= FULL_SUM_PERIOD || !unresponsive.equals(this.unresponsive);
-			List<LoadTold.Share> shares = full ? List.copyOf(current.values()) : changes(current);
+			List<LoadUpdate.Share> shares = full ? List.copyOf(current.values()) : changes(current);
 			this.last = current;
 			this.unresponsive = unresponsive;
 			if (full) {
 				this.sinceFull = 0;
 			}
 			return (full || !shares.isEmpty())
-					? Optional.of(new LoadSummed(fleet, full, shares, sum.demands(), included, unresponsive))
+					? Optional.of(new LoadSummary(fleet, full, shares, sum.demands(), included, unresponsive))
 					: Optional.empty();
 		}
 
-		private List<LoadTold.Share> changes(Map<String, LoadTold.Share> now) {
-			List<LoadTold.Share> changes = new ArrayList<>();
+		private List<LoadUpdate.Share> changes(Map<String, LoadUpdate.Share> now) {
+			List<LoadUpdate.Share> changes = new ArrayList<>();
 			now.forEach((endpoint, share) -> {
-				LoadTold.Share before = this.last.get(endpoint);
+				LoadUpdate.Share before = this.last.get(endpoint);
 				if (before == null || !before.sameWork(share)) {
 					changes.add(share);
 				}
@@ -362,7 +362,7 @@
 			this.last.keySet()
 				.stream()
 				.filter((endpoint) -> !now.containsKey(endpoint))
-				.forEach((endpoint) -> changes.add(LoadTold.Share.none(endpoint)));
+				.forEach((endpoint) -> changes.add(LoadUpdate.Share.none(endpoint)));
 			return changes;
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadSum.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadSum.java
@@ -9,9 +9,9 @@
  */
 final class LoadSum {
 
-	private final Map<String, LoadTold.Share> shares = new TreeMap<>();
+	private final Map<String, LoadUpdate.Share> shares = new TreeMap<>();
 
-	private final Map<String, LoadTold.Demand> demands = new TreeMap<>();
+	private final Map<String, LoadUpdate.Demand> demands = new TreeMap<>();
 
 	/**
 	 * Adds or subtracts load.
@@ -20,27 +20,28 @@
 	 * @param sign 1 to add, -1 to subtract
 	 * @return this sum
 	 */
-	LoadSum accumulate(List<LoadTold.Share> addedShares, List<LoadTold.Demand> addedDemands, int sign) {
-		for (LoadTold.Share added : addedShares) {
-			LoadTold.Share current = this.shares.getOrDefault(added.endpoint(), LoadTold.Share.none(added.endpoint()));
-			this.shares.put(added.endpoint(), new LoadTold.Share(added.endpoint(),
+	LoadSum accumulate(List<LoadUpdate.Share> addedShares, List<LoadUpdate.Demand> addedDemands, int sign) {
+		for (LoadUpdate.Share added : addedShares) {
+			LoadUpdate.Share current = this.shares.getOrDefault(added.endpoint(),
+					LoadUpdate.Share.none(added.endpoint()));
+			this.shares.put(added.endpoint(), new LoadUpdate.Share(added.endpoint(),
 					current.active() + sign * added.active(), current.prefillMillis() + sign * added.prefillMillis(),
 					current.tokens() + sign * added.tokens(), Math.max(current.oldestMillis(), added.oldestMillis()),
 					latestPrefill(current, added), current.helping() + sign * added.helping(),
 					Math.min(current.pauseMillis(), added.pauseMillis())));
 		}
-		for (LoadTold.Demand added : addedDemands) {
-			LoadTold.Demand current = this.demands.getOrDefault(added.service(),
-					new LoadTold.Demand(added.service(), 0, 0, 0));
+		for (LoadUpdate.Demand added : addedDemands) {
+			LoadUpdate.Demand current = this.demands.getOrDefault(added.service(),
+					new LoadUpdate.Demand(added.service(), 0, 0, 0));
 			this.demands.put(added.service(),
-					new LoadTold.Demand(added.service(), current.shortActive() + sign * added.shortActive(),
+					new LoadUpdate.Demand(added.service(), current.shortActive() + sign * added.shortActive(),
 							current.waiting() + sign * added.waiting(),
 							current.waitingMillis() + sign * added.waitingMillis()));
 		}
 		return this;
 	}
 
-	private static int latestPrefill(LoadTold.Share left, LoadTold.Share right) {
+	private static int latestPrefill(LoadUpdate.Share left, LoadUpdate.Share right) {
 		if (left.doneMillis() < 0 || right.doneMillis() < 0) {
 			return Math.max(left.doneMillis(), right.doneMillis());
 		}
@@ -51,12 +52,12 @@
 	 * The sum by endpoint.
 	 * @return the load, without idle endpoints
 	 */
-	Map<String, LoadTold.Share> shares() {
-		this.shares.values().removeIf(LoadTold.Share::idle);
+	Map<String, LoadUpdate.Share> shares() {
+		this.shares.values().removeIf(LoadUpdate.Share::idle);
 		return this.shares;
 	}
 
-	List<LoadTold.Demand> demands() {
+	List<LoadUpdate.Demand> demands() {
 		return List.copyOf(this.demands.values());
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadSummed.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadSummary.java
@@ -23,6 +23,6 @@
  * daemons would learn of their failure only from membership, seconds later
  */
 @MessageName("LoadSummed")
-public record LoadSummed(boolean fleet, boolean full, List<LoadTold.Share> shares, List<LoadTold.Demand> demands,
+public record LoadSummary(boolean fleet, boolean full, List<LoadUpdate.Share> shares, List<LoadUpdate.Demand> demands,
 		Map<String, Long> included, Set<VmId> unresponsive) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadRoutes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadTopology.java
@@ -10,7 +10,7 @@
  * <p>
  * Confined to the scheduler's thread.
  */
-public interface LoadRoutes {
+public interface LoadTopology {
 
 	/**
 	 * Whether the fleet is small enough for each daemon to send its updates to all
@@ -31,7 +31,7 @@
 	 * The other daemons of this daemon's data centre.
 	 * @return their VMs
 	 */
-	Collection<VmId> near();
+	Collection<VmId> members();
 
 	/**
 	 * The relays of the other data centres.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadBoard.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadTracker.java
@@ -21,7 +21,7 @@
  * {@link #PEER_EXPIRY} after its last update, so that requests of a failed daemon don't
  * make an endpoint look busy. Confined to the scheduler's thread.
  */
-public final class LoadBoard {
+public final class LoadTracker {
 
 	/** A peer's load expires after this; ten updates may be lost before. */
 	static final Duration PEER_EXPIRY = Duration.ofMillis(1_000);
@@ -46,7 +46,7 @@
 	private Runnable changeListener = () -> {
 	};
 
-	public LoadBoard(Clock clock) {
+	public LoadTracker(Clock clock) {
 		this.clock = clock;
 	}
 
@@ -63,7 +63,7 @@
 	 * Removes an endpoint that no longer exists.
 	 * @param endpoint the endpoint
 	 */
-	public void forget(EndpointStart endpoint) {
+	public void remove(EndpointStart endpoint) {
 		this.lastPrefillAt.remove(endpoint);
 	}
 
@@ -119,7 +119,7 @@
 	 * The active requests at all endpoints, of this daemon and of its peers.
 	 * @return the number
 	 */
-	public int underWay() {
+	public int activeRequests() {
 		long now = this.clock.nanos();
 		int sum = 0;
 		for (Set<Work> works : this.local.values()) {
@@ -137,17 +137,17 @@
 	 * This daemon's own load by endpoint, for its peers.
 	 * @return the endpoints with load
 	 */
-	public List<LoadTold.Share> shares() {
+	public List<LoadUpdate.Share> shares() {
 		long now = this.clock.nanos();
-		List<LoadTold.Share> shares = new ArrayList<>();
+		List<LoadUpdate.Share> shares = new ArrayList<>();
 		for (EndpointStart endpoint : this.local.keySet()) {
 			LocalWork localWork = localWork(endpoint);
 			PrefillBacklog prefill = localWork.prefill();
 			shares
-				.add(new LoadTold.Share(endpoint.toString(), localWork.active(), (int) Math.ceil(prefill.millis()),
+				.add(new LoadUpdate.Share(endpoint.toString(), localWork.active(), (int) Math.ceil(prefill.millis()),
 						localWork.tokens(), (prefill.millis() > 0) ? millisSince(prefill.oldestAt(), now) : 0,
 						(prefill.lastCompletedAt() != PrefillBacklog.NEVER)
-								? millisSince(prefill.lastCompletedAt(), now) : LoadTold.Share.NEVER,
+								? millisSince(prefill.lastCompletedAt(), now) : LoadUpdate.Share.NEVER,
 						localWork.helping(), localWork.pauseMillis()));
 		}
 		return shares;
@@ -158,7 +158,7 @@
 	 * @param source a peer, or a group of peers
 	 * @param shares the load by endpoint
 	 */
-	public void told(String source, List<LoadTold.Share> shares) {
+	public void replace(String source, List<LoadUpdate.Share> shares) {
 		this.peers.put(source, new PeerLoad(this.clock.nanos(), new HashMap<>()));
 		merge(source, shares);
 	}
@@ -169,11 +169,11 @@
 	 * @param source a peer, or a group of peers
 	 * @param shares the load by endpoint
 	 */
-	public void merge(String source, List<LoadTold.Share> shares) {
+	public void merge(String source, List<LoadUpdate.Share> shares) {
 		long now = this.clock.nanos();
 		PeerLoad previous = this.peers.get(source);
 		Map<EndpointStart, PeerShare> byEndpoint = (previous != null) ? previous.shares() : new HashMap<>();
-		for (LoadTold.Share share : shares) {
+		for (LoadUpdate.Share share : shares) {
 			EndpointStart endpoint = EndpointStart.parse(share.endpoint());
 			if (share.idle()) {
 				byEndpoint.remove(endpoint);
@@ -223,7 +223,7 @@
 	 * @param share the load
 	 * @param receivedAt when it arrived
 	 */
-	private record PeerShare(LoadTold.Share share, long receivedAt) {
+	private record PeerShare(LoadUpdate.Share share, long receivedAt) {
 
 		PrefillBacklog prefill() {
 			long lastCompletedAt = (this.share.doneMillis() >= 0) ? before(this.share.doneMillis())
@@ -312,8 +312,8 @@
 		public void prefillDone() {
 			if (!this.prefillDone) {
 				this.prefillDone = true;
-				LoadBoard.this.lastPrefillAt.put(this.endpoint, LoadBoard.this.clock.nanos());
-				LoadBoard.this.changeListener.run();
+				LoadTracker.this.lastPrefillAt.put(this.endpoint, LoadTracker.this.clock.nanos());
+				LoadTracker.this.changeListener.run();
 			}
 			if (!this.active && this.tokens == 0) {
 				end();
@@ -324,14 +324,14 @@
 		 * Records that the work has ended; has no effect when called again.
 		 */
 		public void end() {
-			Set<Work> works = LoadBoard.this.local.get(this.endpoint);
+			Set<Work> works = LoadTracker.this.local.get(this.endpoint);
 			if (works == null || !works.remove(this)) {
 				return;
 			}
 			if (works.isEmpty()) {
-				LoadBoard.this.local.remove(this.endpoint);
+				LoadTracker.this.local.remove(this.endpoint);
 			}
-			LoadBoard.this.changeListener.run();
+			LoadTracker.this.changeListener.run();
 		}
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadTold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadUpdate.java
@@ -13,7 +13,7 @@
  * @param demands its demand by service
  */
 @MessageName("LoadTold")
-public record LoadTold(long sequence, List<Share> shares, List<Demand> demands) implements PeerMessage {
+public record LoadUpdate(long sequence, List<Share> shares, List<Demand> demands) implements PeerMessage {
 
 	/**
 	 * The load at one endpoint.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/RemoteLoad.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/RemoteLoad.java
@@ -18,7 +18,7 @@
 
 	private final Map<String, ReceivedShare> byEndpoint = new HashMap<>();
 
-	private List<LoadTold.Demand> demands = List.of();
+	private List<LoadUpdate.Demand> demands = List.of();
 
 	private long sequence;
 
@@ -33,12 +33,12 @@
 	 * @param newDemands the demand by service
 	 * @param now the current time
 	 */
-	void update(boolean full, long newSequence, List<LoadTold.Share> shares, List<LoadTold.Demand> newDemands,
+	void update(boolean full, long newSequence, List<LoadUpdate.Share> shares, List<LoadUpdate.Demand> newDemands,
 			long now) {
 		if (full) {
 			this.byEndpoint.clear();
 		}
-		for (LoadTold.Share share : shares) {
+		for (LoadUpdate.Share share : shares) {
 			if (share.idle()) {
 				this.byEndpoint.remove(share.endpoint());
 			}
@@ -56,14 +56,14 @@
 	 * @param now the current time
 	 * @return the shares, with ages relative to now
 	 */
-	List<LoadTold.Share> shares(long now) {
-		List<LoadTold.Share> shares = new ArrayList<>(this.byEndpoint.size());
+	List<LoadUpdate.Share> shares(long now) {
+		List<LoadUpdate.Share> shares = new ArrayList<>(this.byEndpoint.size());
 		this.byEndpoint.values()
 			.forEach((received) -> shares.add(received.share().aged((now - received.receivedAt()) / NANOS_PER_MILLI)));
 		return shares;
 	}
 
-	List<LoadTold.Demand> demands() {
+	List<LoadUpdate.Demand> demands() {
 		return this.demands;
 	}
 
@@ -81,7 +81,7 @@
 	 * @param share the load
 	 * @param receivedAt when it was received
 	 */
-	private record ReceivedShare(LoadTold.Share share, long receivedAt) {
+	private record ReceivedShare(LoadUpdate.Share share, long receivedAt) {
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/UnresponsivePeers.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/UnresponsivePeers.java
@@ -25,12 +25,12 @@
 	/**
 	 * A daemon sends three updates within this time, whether or not anything has changed.
 	 */
-	static final Duration TIMEOUT = LoadExchange.PAUSE.multipliedBy(3).plus(LoadExchange.GATHER);
+	static final Duration TIMEOUT = LoadExchange.UPDATE_INTERVAL.multipliedBy(3).plus(LoadExchange.BATCH_DELAY);
 
 	/**
 	 * A longer gap between two updates of this daemon means that this process was paused.
 	 */
-	private static final Duration MAX_OWN_PAUSE = LoadExchange.PAUSE.multipliedBy(2);
+	private static final Duration MAX_OWN_PAUSE = LoadExchange.UPDATE_INTERVAL.multipliedBy(2);
 
 	private final Clock clock;
 
@@ -79,7 +79,7 @@
 	 * Restarts the timeouts of all peers if this process was paused. Updates that arrived
 	 * during the pause have not been processed yet, and a daemon that took all its peers
 	 * for unresponsive would name only itself to callers. To be called at least once in
-	 * each {@link LoadExchange#PAUSE}.
+	 * each {@link LoadExchange#UPDATE_INTERVAL}.
 	 */
 	void restartTimeoutsAfterPause() {
 		long now = this.clock.nanos();
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/DecisionLog.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/DecisionLog.java
@@ -23,7 +23,7 @@
 	 * @param subject alternating names and values that identify the subject
 	 * @param fields alternating names and values
 	 */
-	void line(String kind, Object[] subject, Object[] fields);
+	void write(String kind, Object[] subject, Object[] fields);
 
 	/**
 	 * Logs a decision about a request.
@@ -32,7 +32,7 @@
 	 * @param fields its inputs, their age or version, and the outcome
 	 */
 	default void request(Object id, String decision, Object... fields) {
-		line("request", new Object[] { "id", id, "decision", decision }, fields);
+		write("request", new Object[] { "id", id, "decision", decision }, fields);
 	}
 
 	/**
@@ -42,7 +42,7 @@
 	 * @param fields the new assumption and its reasons
 	 */
 	default void belief(String subject, Object name, Object... fields) {
-		line("belief", new Object[] { subject, name }, fields);
+		write("belief", new Object[] { subject, name }, fields);
 	}
 
 	/**
@@ -51,7 +51,7 @@
 	 * @param fields details
 	 */
 	default void daemon(String event, Object... fields) {
-		line("daemon", new Object[] { "event", event }, fields);
+		write("daemon", new Object[] { "event", event }, fields);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/LogRecords.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/DecisionLogHandler.java
@@ -14,13 +14,13 @@
  * <p>
  * Safe for use by multiple threads.
  */
-public final class LogRecords extends Handler {
+public final class DecisionLogHandler extends Handler {
 
 	private final DecisionLog log;
 
 	private final SimpleFormatter formatter = new SimpleFormatter();
 
-	private LogRecords(DecisionLog log) {
+	private DecisionLogHandler(DecisionLog log) {
 		this.log = log;
 	}
 
@@ -32,14 +32,14 @@
 		LogManager.getLogManager().reset();
 		Logger root = Logger.getLogger("");
 		root.setLevel(Level.INFO);
-		root.addHandler(new LogRecords(log));
+		root.addHandler(new DecisionLogHandler(log));
 	}
 
 	@Override
 	public void publish(LogRecord entry) {
 		if (entry.getLevel().intValue() >= Level.INFO.intValue()) {
 			Throwable thrown = entry.getThrown();
-			this.log.line("log", new Object[] { "level", entry.getLevel(), "logger", entry.getLoggerName() },
+			this.log.write("log", new Object[] { "level", entry.getLevel(), "logger", entry.getLoggerName() },
 					new Object[] { "message", this.formatter.formatMessage(entry), "thrown", describe(thrown) });
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/JsonLines.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/JsonDecisionLog.java
@@ -20,7 +20,7 @@
  * therefore queued up to a bound; those beyond it are dropped, and the next line that
  * fits reports their number. Safe for use by multiple threads.
  */
-public final class JsonLines implements DecisionLog, AutoCloseable {
+public final class JsonDecisionLog implements DecisionLog, AutoCloseable {
 
 	/**
 	 * Maximum number of queued lines: about two seconds of the highest rate at which a
@@ -47,7 +47,7 @@
 	 * @param daemon the daemon's name, which is part of each line
 	 * @param time the time of day
 	 */
-	public JsonLines(OutputStream output, String daemon, Supplier<Instant> time) {
+	public JsonDecisionLog(OutputStream output, String daemon, Supplier<Instant> time) {
 		this.time = time;
 		this.daemon = daemon;
 		this.writer = new Thread(() -> write(output), "log");
@@ -56,7 +56,7 @@
 	}
 
 	@Override
-	public void line(String kind, Object[] subject, Object[] fields) {
+	public void write(String kind, Object[] subject, Object[] fields) {
 		StringBuilder line = new StringBuilder(192);
 		line.append("{\"time\":\"").append(this.time.get()).append("\",\"daemon\":");
 		appendQuoted(line, this.daemon);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/BackendEntries.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/BackendEntries.java
@@ -10,8 +10,8 @@
 import org.bramleyscale.internal.gateway.backend.BackendHealth;
 import org.bramleyscale.internal.gateway.backend.BackendTable;
 import org.bramleyscale.internal.gateway.backend.EndpointStart;
-import org.bramleyscale.internal.gateway.follow.FollowedObject;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.follow.ObjectCopy;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 
 /**
@@ -31,7 +31,7 @@
 
 	private final BackendHealth health;
 
-	private final LoadBoard loads;
+	private final LoadTracker loads;
 
 	private final BooleanSupplier afterOutage;
 
@@ -51,7 +51,7 @@
 	 * store
 	 * @param log takes a line when an entry can't be read
 	 */
-	BackendEntries(Documents documents, BackendTable backends, BackendHealth health, LoadBoard loads,
+	BackendEntries(Documents documents, BackendTable backends, BackendHealth health, LoadTracker loads,
 			BooleanSupplier afterOutage, DecisionLog log) {
 		this.documents = documents;
 		this.backends = backends;
@@ -65,7 +65,7 @@
 	 * Applies the new copy of an entry, or its deletion.
 	 * @param object the copy
 	 */
-	void changed(FollowedObject object) {
+	void changed(ObjectCopy object) {
 		if (object.deleted()) {
 			this.unreadable.remove(object.name());
 			EndpointStart start = this.starts.remove(object.name());
@@ -98,7 +98,7 @@
 	 * @param object the entry
 	 * @param reason why it can't be read
 	 */
-	private void markUnreadable(FollowedObject object, String reason) {
+	private void markUnreadable(ObjectCopy object, String reason) {
 		EndpointStart start = this.starts.get(object.name());
 		if (start != null) {
 			this.backends.remove(start.id(), false);
@@ -110,7 +110,7 @@
 	}
 
 	private void forget(EndpointStart start) {
-		this.loads.forget(start);
+		this.loads.remove(start);
 		this.health.forget(start);
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/CatalogEntry.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/CatalogEntry.java
@@ -2,7 +2,7 @@
 
 import org.bramleyscale.internal.gateway.catalog.Catalog;
 import org.bramleyscale.internal.gateway.catalog.CatalogHolder;
-import org.bramleyscale.internal.gateway.follow.FollowedObject;
+import org.bramleyscale.internal.gateway.follow.ObjectCopy;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.jboss.logging.Logger;
 
@@ -33,7 +33,7 @@
 	 * Applies the new copy of an object, or its deletion.
 	 * @param object the copy
 	 */
-	void changed(FollowedObject object) {
+	void changed(ObjectCopy object) {
 		if (object.deleted() || !object.name().equals(this.documents.catalogName())) {
 			return;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetDirectory.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetDirectory.java
@@ -12,9 +12,9 @@
 import org.bramleyscale.VmId;
 import org.bramleyscale.internal.address.RendezvousHash;
 import org.bramleyscale.internal.gateway.backend.EndpointStart;
-import org.bramleyscale.internal.gateway.follow.NewsRoutes;
+import org.bramleyscale.internal.gateway.follow.UpdateRoutes;
 import org.bramleyscale.internal.gateway.limit.LimitHolders;
-import org.bramleyscale.internal.gateway.load.LoadRoutes;
+import org.bramleyscale.internal.gateway.load.LoadTopology;
 import org.bramleyscale.internal.membership.Member;
 import org.bramleyscale.internal.membership.MembershipService;
 import org.bramleyscale.internal.peer.PeerDirectory;
@@ -28,7 +28,7 @@
  * and relays are connected to each other and to the other daemons of their data centre.
  * Confined to the scheduler's thread.
  */
-final class FleetDirectory implements PeerDirectory, LoadRoutes, NewsRoutes, LimitHolders {
+final class FleetDirectory implements PeerDirectory, LoadTopology, UpdateRoutes, LimitHolders {
 
 	/**
 	 * The most daemons that form a full mesh. At this size each sends 230 load updates a
@@ -53,7 +53,7 @@
 		else {
 			wanted.addAll(this.membership.relays());
 			if (isRelay()) {
-				wanted.addAll(near());
+				wanted.addAll(members());
 			}
 		}
 		wanted.remove(this.membership.self().vm());
@@ -78,7 +78,7 @@
 	}
 
 	@Override
-	public Collection<VmId> near() {
+	public Collection<VmId> members() {
 		return others(notDead().filter((member) -> member.dataCentre().equals(this.membership.dataCentre())));
 	}
 
@@ -93,11 +93,11 @@
 	}
 
 	@Override
-	public Collection<VmId> firstHand() {
+	public Collection<VmId> originRecipients() {
 		if (flat()) {
 			return others(notDead());
 		}
-		return isRelay() ? relayTargets(near()) : relays();
+		return isRelay() ? relayTargets(members()) : relays();
 	}
 
 	/**
@@ -105,11 +105,11 @@
 	 * sends it to the other relays itself.
 	 */
 	@Override
-	public Collection<VmId> passedOn(VmId from) {
+	public Collection<VmId> forwardRecipients(VmId from) {
 		if (flat() || !isRelay()) {
 			return List.of();
 		}
-		List<VmId> near = new ArrayList<>(near());
+		List<VmId> near = new ArrayList<>(members());
 		near.remove(from);
 		boolean fromOwnDataCentre = dataCentre(from).equals(this.membership.dataCentre().value());
 		return fromOwnDataCentre ? relayTargets(near) : near;
@@ -169,7 +169,7 @@
 		if (relays.contains(self)) {
 			return relays.stream().sorted(Comparator.comparingInt(this::sizeClass).reversed()).toList().indexOf(self);
 		}
-		long before = near().stream().filter((vm) -> vm.value().compareTo(self.value()) < 0).count();
+		long before = members().stream().filter((vm) -> vm.value().compareTo(self.value()) < 0).count();
 		return relays.size() + (int) before;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetStatus.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetStatus.java
@@ -10,7 +10,7 @@
 import org.bramleyscale.internal.gateway.catalog.EngineProfile;
 import org.bramleyscale.internal.gateway.catalog.Service;
 import org.bramleyscale.internal.gateway.load.EndpointLoad;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 import org.bramleyscale.internal.membership.Member;
 import org.bramleyscale.internal.membership.MembershipService;
 import org.bramleyscale.internal.status.DaemonStatus;
@@ -30,11 +30,11 @@
 
 	private final BackendHealth health;
 
-	private final LoadBoard loads;
+	private final LoadTracker loads;
 
 	private final CatalogHolder catalogs;
 
-	FleetStatus(MembershipService membership, BackendTable backends, BackendHealth health, LoadBoard loads,
+	FleetStatus(MembershipService membership, BackendTable backends, BackendHealth health, LoadTracker loads,
 			CatalogHolder catalogs) {
 		this.membership = membership;
 		this.backends = backends;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewayNode.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewayNode.java
@@ -19,19 +19,19 @@
 import org.bramleyscale.internal.gateway.crash.FleetCrashGuard;
 import org.bramleyscale.internal.gateway.follow.FollowOrder;
 import org.bramleyscale.internal.gateway.follow.FollowTimes;
-import org.bramleyscale.internal.gateway.follow.FollowedKind;
+import org.bramleyscale.internal.gateway.follow.ObjectCopies;
 import org.bramleyscale.internal.gateway.follow.PeerCopies;
 import org.bramleyscale.internal.gateway.follow.StoreFollower;
 import org.bramleyscale.internal.gateway.hold.EngineOrders;
 import org.bramleyscale.internal.gateway.hold.MemoryHolds;
-import org.bramleyscale.internal.gateway.http.BackendConnections;
+import org.bramleyscale.internal.gateway.http.BackendConnectionPool;
 import org.bramleyscale.internal.gateway.http.CallerServer;
 import org.bramleyscale.internal.gateway.http.NettyLoop;
 import org.bramleyscale.internal.gateway.http.WireDialect;
 import org.bramleyscale.internal.gateway.limit.FleetLimits;
-import org.bramleyscale.internal.gateway.load.DemandBoard;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.load.DemandTracker;
 import org.bramleyscale.internal.gateway.load.LoadExchange;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.gateway.placement.EnginePlacement;
 import org.bramleyscale.internal.gateway.placement.PlacementPolicy;
@@ -39,8 +39,8 @@
 import org.bramleyscale.internal.gateway.request.GatewayMetrics;
 import org.bramleyscale.internal.gateway.request.GatewayPorts;
 import org.bramleyscale.internal.gateway.request.GatewayService;
-import org.bramleyscale.internal.gateway.request.StartQueue;
-import org.bramleyscale.internal.gateway.retry.RetryWindow;
+import org.bramleyscale.internal.gateway.request.StartupQueue;
+import org.bramleyscale.internal.gateway.retry.RetryBudget;
 import org.bramleyscale.internal.membership.MembershipService;
 import org.bramleyscale.internal.peer.MessageCodec;
 import org.bramleyscale.internal.peer.TcpPeerNetwork;
@@ -70,7 +70,7 @@
 
 	private final GatewaySettings settings;
 
-	private final Parts parts;
+	private final Dependencies parts;
 
 	private final SplittableRandom random = new SplittableRandom();
 
@@ -80,7 +80,7 @@
 
 	private final BackendHealth health;
 
-	private final LoadBoard loads;
+	private final LoadTracker loads;
 
 	private final StoreFollower catalogFollower;
 
@@ -116,8 +116,8 @@
 
 	private final Registration registration;
 
-	private GatewayNode(GatewaySettings settings, Parts parts, RegisteredDaemons daemons, Registration registration,
-			Runnable onStopped) {
+	private GatewayNode(GatewaySettings settings, Dependencies parts, RegisteredDaemons daemons,
+			Registration registration, Runnable onStopped) {
 		this.settings = settings;
 		this.parts = parts;
 		this.registration = registration;
@@ -126,12 +126,12 @@
 		this.self = new Incarnation(settings.vm(), registration.start());
 		PeerSetup peers = new PeerSetup(settings, this.self);
 		this.backends = new BackendTable(loop, log);
-		FollowedKind catalogKind = new FollowedKind(new CatalogEntry(parts.documents(), this.catalogs, log)::changed);
+		ObjectCopies catalogKind = new ObjectCopies(new CatalogEntry(parts.documents(), this.catalogs, log)::changed);
 		this.health = new BackendHealth(loop, log);
-		this.loads = new LoadBoard(loop);
-		FollowedKind backendKind = new FollowedKind(new BackendEntries(parts.documents(), this.backends, this.health,
+		this.loads = new LoadTracker(loop);
+		ObjectCopies backendKind = new ObjectCopies(new BackendEntries(parts.documents(), this.backends, this.health,
 				this.loads, this::mayHaveExpired, log)::changed);
-		FollowTimes times = FollowTimes.within(settings.changeWithin());
+		FollowTimes times = FollowTimes.within(settings.propagationLimit());
 		this.catalogFollower = follower(parts.documents().catalogKind(), daemons, catalogKind, times);
 		this.backendFollower = follower(parts.documents().backendKind(), daemons, backendKind, times);
 		this.network = new TcpPeerNetwork(peers.connections(), loop.forPeers(), loop,
@@ -145,22 +145,22 @@
 			.metrics(parts.metrics())
 			.build();
 		this.directory = new FleetDirectory(this.membership);
-		BackendConnections connections = new BackendConnections(loop, parts.dialect());
+		BackendConnectionPool connections = new BackendConnectionPool(loop, parts.dialect());
 		this.crashes = new FleetCrashGuard(
 				new FleetCrashGuard.Ports(loop, this.network, this.directory, parts.store(), log, parts.metrics()),
-				connections, this.backends::offers, () -> this.directory.storeRank() == 0);
+				connections, this.backends::acceptsRequests, () -> this.directory.storeRank() == 0);
 		this.limits = new FleetLimits(loop, this.network, this.directory, this.directory, log, parts.metrics());
-		this.backends.onEnd((endpoint) -> {
-			this.crashes.gone(endpoint);
+		this.backends.onUnplannedEnd((endpoint) -> {
+			this.crashes.endpointRemoved(endpoint);
 			this.limits.forget(endpoint);
 		});
-		FollowedKind crashKind = new FollowedKind(this.crashes::recordChanged);
+		ObjectCopies crashKind = new ObjectCopies(this.crashes::recordChanged);
 		this.crashFollower = follower(FleetCrashGuard.KIND, daemons, crashKind, FollowTimes.RELAXED);
 		this.copies = new PeerCopies(
 				this.self, loop, this.network, Map.of(parts.documents().catalogKind(), catalogKind,
 						parts.documents().backendKind(), backendKind, FleetCrashGuard.KIND, crashKind),
 				this.directory, log);
-		DemandBoard demands = new DemandBoard(loop);
+		DemandTracker demands = new DemandTracker(loop);
 		this.loadExchange = new LoadExchange(loop, this.network, settings.vm(), this.directory, this.loads, demands);
 		this.entries = new EntryList(loop, this.membership, this.network, new NodeFleetView(settings.vm(),
 				this::configured, daemons, this.loadExchange, this.directory, this.loads), log);
@@ -169,23 +169,23 @@
 				this.random);
 		EndpointNotices notices = new EndpointNotices(
 				new FleetPresence(loop, this.network, this.directory, this.backends), this.health);
-		parts.orders().onNotice(notices::heard);
-		MemoryHolds holds = new MemoryHolds(loop, parts.orders(), this.backends::startedAgain, notices::takes,
+		parts.orders().onNotice(notices::apply);
+		MemoryHolds holds = new MemoryHolds(loop, parts.orders(), this.backends::hasRestarted, notices::acceptsRequests,
 				this.self.toString(), log);
 		GatewayPorts ports = new GatewayPorts(loop, settings.dataCentre(), connections,
 				(request) -> (request.service().engine().isPresent() ? enginePlacement : plainPlacement).place(request),
 				notices, this.health, this.loads, demands, retryWindow(), this.limits, this.crashes, holds,
-				this.loadExchange::tell, log, new GatewayMetrics(parts.metrics()));
+				this.loadExchange::sendUpdate, log, new GatewayMetrics(parts.metrics()));
 		this.service = new GatewayService(ports, this.catalogs, this::accepts, this.random);
-		StartQueue requests = new StartQueue(loop, this::configured, this.service);
+		StartupQueue requests = new StartupQueue(loop, this::configured, this.service);
 		this.callers = new CallerServer(loop, requests, parts.dialect(),
 				() -> this.catalogs.current().map(Catalog::limits).orElse(CallerLimits.DEFAULT));
 		this.status = new FleetStatus(this.membership, this.backends, this.health, this.loads, this.catalogs);
 		this.leave = new LeaveSequence(loop, settings, new LeaveActions(onStopped), log);
 		parts.metrics().gauge("gateway.connections.callers", () -> this.callers::connections);
-		parts.metrics().gauge("gateway.connections.opened", () -> connections::opened);
-		parts.metrics().gauge("gateway.connections.reused", () -> connections::reused);
-		parts.metrics().gauge("gateway.unfinished", () -> this.service::unfinished);
+		parts.metrics().gauge("gateway.connections.opened", () -> connections::openedCount);
+		parts.metrics().gauge("gateway.connections.reused", () -> connections::reusedCount);
+		parts.metrics().gauge("gateway.unfinished", () -> this.service::activeRequestCount);
 	}
 
 	/**
@@ -195,7 +195,7 @@
 	 * @param onStopped called once when a planned stop is complete
 	 * @return the daemon
 	 */
-	public static GatewayNode create(GatewaySettings settings, Parts parts, Runnable onStopped) {
+	public static GatewayNode create(GatewaySettings settings, Dependencies parts, Runnable onStopped) {
 		RegisteredDaemons daemons = new RegisteredDaemons(parts.store());
 		Registration registration = Registration.afterPreviousStart(settings, parts, daemons);
 		return CompletableFuture
@@ -261,7 +261,7 @@
 		state.put("catalog", this.catalogs.current().map(Catalog::version).orElse(0L));
 		state.put("routes", this.catalogs.current().map(Catalog::routeCount).orElse(0));
 		state.put("storeSilentMillis", this.backendFollower.silence().toMillis());
-		state.put("unfinished", this.service.unfinished());
+		state.put("unfinished", this.service.activeRequestCount());
 		state.put("endpoints", this.backends.all().stream().map(Object::toString).sorted().toList());
 		state.put("addresses", addresses());
 		state.put("membership", this.membership.dump());
@@ -294,7 +294,7 @@
 		this.registration.register();
 	}
 
-	private StoreFollower follower(String kind, ObjectStore store, FollowedKind copies, FollowTimes times) {
+	private StoreFollower follower(String kind, ObjectStore store, ObjectCopies copies, FollowTimes times) {
 		StoreFollower follower = new StoreFollower(kind, this.parts.loop(), this.random, store, copies,
 				new StoreOrder(), times, this.parts.log());
 		follower
@@ -316,8 +316,8 @@
 		return this.leave.accepts(timeLeft);
 	}
 
-	private RetryWindow retryWindow() {
-		return new RetryWindow(this.parts.loop(), this.settings.retryWindow(), this.settings.retryRatio(),
+	private RetryBudget retryWindow() {
+		return new RetryBudget(this.parts.loop(), this.settings.retryWindow(), this.settings.retryRatio(),
 				this.settings.retryConstant(), () -> Math.max(1, this.membership.expected()));
 	}
 
@@ -332,7 +332,7 @@
 	 * @param log the decision log
 	 * @param metrics the registry of metrics
 	 */
-	public record Parts(NettyLoop loop, ObjectStore store, Documents documents, WireDialect dialect,
+	public record Dependencies(NettyLoop loop, ObjectStore store, Documents documents, WireDialect dialect,
 			EngineOrders orders, DecisionLog log, MetricRegistry metrics) {
 	}
 
@@ -372,7 +372,7 @@
 
 		@Override
 		public int unfinished() {
-			return GatewayNode.this.service.unfinished();
+			return GatewayNode.this.service.activeRequestCount();
 		}
 
 		@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewaySettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewaySettings.java
@@ -21,7 +21,7 @@
  * @param seeds peers to dial before the list of daemons has been read
  * @param addressKeepFor how long callers keep an answer about addresses
  * @param grace how long a planned stop may take
- * @param changeWithin the time within which a change in the store must be in force on
+ * @param propagationLimit the time within which a change in the store must be in force on
  * every daemon
  * @param retryWindow the window of the retry budget
  * @param retryRatio retries allowed for each request in a window
@@ -29,7 +29,7 @@
  * @param capacity the capacity of the VM
  */
 public record GatewaySettings(VmId vm, DataCentre dataCentre, InetSocketAddress callers, InetSocketAddress peers,
-		List<VmId> seeds, Duration addressKeepFor, Duration grace, Duration changeWithin, Duration retryWindow,
+		List<VmId> seeds, Duration addressKeepFor, Duration grace, Duration propagationLimit, Duration retryWindow,
 		double retryRatio, double retryConstant, VmCapacity capacity) {
 
 	public GatewaySettings {
@@ -37,8 +37,8 @@
 		if (grace.isNegative() || grace.isZero()) {
 			throw new IllegalArgumentException("grace must be positive, was " + grace);
 		}
-		if (changeWithin.isNegative() || changeWithin.isZero()) {
-			throw new IllegalArgumentException("changeWithin must be positive, was " + changeWithin);
+		if (propagationLimit.isNegative() || propagationLimit.isZero()) {
+			throw new IllegalArgumentException("changeWithin must be positive, was " + propagationLimit);
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/NodeFleetView.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/NodeFleetView.java
@@ -4,8 +4,8 @@
 import java.util.function.BooleanSupplier;
 
 import org.bramleyscale.VmId;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
 import org.bramleyscale.internal.gateway.load.LoadExchange;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 
 /**
  * The view of the fleet that the components of a daemon provide. Confined to the
@@ -19,7 +19,7 @@
  * @param loads the active requests
  */
 record NodeFleetView(VmId self, BooleanSupplier configurationKnown, RegisteredDaemons daemons, LoadExchange exchange,
-		FleetDirectory directory, LoadBoard loads) implements FleetView {
+		FleetDirectory directory, LoadTracker loads) implements FleetView {
 
 	@Override
 	public boolean configured() {
@@ -33,7 +33,7 @@
 
 	@Override
 	public boolean unresponsive(VmId vm) {
-		return this.exchange.unheard(vm);
+		return this.exchange.isUnresponsive(vm);
 	}
 
 	@Override
@@ -43,7 +43,7 @@
 
 	@Override
 	public int activeRequests() {
-		return this.loads.underWay();
+		return this.loads.activeRequests();
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/OperatorAnswers.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/OperatorAnswers.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 
 import com.codahale.metrics.MetricRegistry;
-import org.bramleyscale.internal.gateway.http.AnswerServer;
+import org.bramleyscale.internal.gateway.http.SimpleHttpServer;
 import org.bramleyscale.internal.status.MetricsExport;
 import org.bramleyscale.internal.status.OperatorJson;
 import org.bramleyscale.internal.status.ProblemFinder;
@@ -23,7 +23,7 @@
  * <p>
  * Confined to the loop's thread.
  */
-public final class OperatorAnswers implements Function<AnswerServer.Question, AnswerServer.Reply> {
+public final class OperatorAnswers implements Function<SimpleHttpServer.Request, SimpleHttpServer.Response> {
 
 	private static final int OK = 200;
 
@@ -45,18 +45,18 @@
 	}
 
 	@Override
-	public AnswerServer.Reply apply(AnswerServer.Question question) {
+	public SimpleHttpServer.Response apply(SimpleHttpServer.Request question) {
 		try {
 			return switch (question.path()) {
 				case "/" -> reply(TEXT, problemText());
 				case "/v1/operator/status" -> reply(JSON, OperatorJson.write(report()));
 				case "/v1/operator/dump" -> reply(JSON, OperatorJson.write(this.node.dump()));
 				case "/v1/operator/metrics", "/metrics" -> reply(MetricsExport.TEXT_TYPE, this.metrics.text());
-				default -> AnswerServer.Reply.NOT_FOUND;
+				default -> SimpleHttpServer.Response.NOT_FOUND;
 			};
 		}
 		catch (IOException ex) {
-			return new AnswerServer.Reply(FAILED, TEXT, ex.toString().getBytes(StandardCharsets.UTF_8));
+			return new SimpleHttpServer.Response(FAILED, TEXT, ex.toString().getBytes(StandardCharsets.UTF_8));
 		}
 	}
 
@@ -76,8 +76,8 @@
 		return text.toString();
 	}
 
-	private static AnswerServer.Reply reply(String type, String body) {
-		return new AnswerServer.Reply(OK, type, body.getBytes(StandardCharsets.UTF_8));
+	private static SimpleHttpServer.Response reply(String type, String body) {
+		return new SimpleHttpServer.Response(OK, type, body.getBytes(StandardCharsets.UTF_8));
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/Registration.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/Registration.java
@@ -40,8 +40,8 @@
 
 	private long version;
 
-	private Registration(GatewaySettings settings, GatewayNode.Parts parts, RegisteredDaemons daemons, long start,
-			long version) {
+	private Registration(GatewaySettings settings, GatewayNode.Dependencies parts, RegisteredDaemons daemons,
+			long start, long version) {
 		this.scheduler = parts.loop();
 		this.log = parts.log();
 		this.daemons = daemons;
@@ -57,7 +57,7 @@
 	 * @param daemons the records in the store
 	 * @return the registration, not yet written
 	 */
-	static Registration afterPreviousStart(GatewaySettings settings, GatewayNode.Parts parts,
+	static Registration afterPreviousStart(GatewaySettings settings, GatewayNode.Dependencies parts,
 			RegisteredDaemons daemons) {
 		long now = parts.loop().wallTime().toEpochMilli();
 		RegisteredDaemons.VersionedRecord previous = previousRecord(settings, parts, daemons);
@@ -99,8 +99,8 @@
 		});
 	}
 
-	private static RegisteredDaemons.VersionedRecord previousRecord(GatewaySettings settings, GatewayNode.Parts parts,
-			RegisteredDaemons daemons) {
+	private static RegisteredDaemons.VersionedRecord previousRecord(GatewaySettings settings,
+			GatewayNode.Dependencies parts, RegisteredDaemons daemons) {
 		CompletableFuture<RegisteredDaemons.VersionedRecord> found = new CompletableFuture<>();
 		parts.loop().execute(() -> daemons.find(settings.vm()).whenComplete((registered, failure) -> {
 			if (failure == null) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/Candidate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/Candidate.java
@@ -49,7 +49,7 @@
 	 * @return the score, ms; lower is better
 	 */
 	double prefillScore() {
-		return this.load.readMillis() + this.penaltyMillis + (this.avoided ? AVOIDED_PENALTY_MILLIS : 0);
+		return this.load.prefillMillis() + this.penaltyMillis + (this.avoided ? AVOIDED_PENALTY_MILLIS : 0);
 	}
 
 	/**
@@ -76,10 +76,10 @@
 	 */
 	double prefillHeadroomMillis(double pauseShare, double idleBacklogMillis) {
 		if (this.load.pauseMillis() == EndpointLoad.ANY_PAUSE) {
-			return (this.load.readMillis() > 0) ? idleBacklogMillis - this.load.readMillis() : Double.MAX_VALUE;
+			return (this.load.prefillMillis() > 0) ? idleBacklogMillis - this.load.prefillMillis() : Double.MAX_VALUE;
 		}
 		double pass = this.profile.passMillis(this.load.active(), this.load.tokens());
-		return pauseShare * (this.load.pauseMillis() - pass) - this.load.readMillis();
+		return pauseShare * (this.load.pauseMillis() - pass) - this.load.prefillMillis();
 	}
 
 	boolean full() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/EnginePlacement.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/EnginePlacement.java
@@ -16,8 +16,8 @@
 import org.bramleyscale.internal.gateway.catalog.Service;
 import org.bramleyscale.internal.gateway.hold.MemoryHold;
 import org.bramleyscale.internal.gateway.limit.EndpointLimits;
-import org.bramleyscale.internal.gateway.load.DemandBoard;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.load.DemandTracker;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 
 /**
  * Sends short prompts to the engine that can prefill them first, splits longer ones over
@@ -32,7 +32,7 @@
 public final class EnginePlacement implements PlacementPolicy {
 
 	/** The protocol allows at most 16 helper engines; the target engine prefills too. */
-	public static final int MOST_READERS = 17;
+	public static final int MAX_PREFILL_ENGINES = 17;
 
 	/** What each recent failure adds to an engine's score, ms. */
 	private static final double FAILURE_PENALTY_MILLIS = 150;
@@ -54,15 +54,15 @@
 
 	private final BackendHealth health;
 
-	private final LoadBoard loads;
+	private final LoadTracker loads;
 
-	private final DemandBoard demands;
+	private final DemandTracker demands;
 
 	private final RandomGenerator random;
 
 	private final PlacementTuning tuning;
 
-	public EnginePlacement(BackendTable backends, BackendHealth health, LoadBoard loads, DemandBoard demands,
+	public EnginePlacement(BackendTable backends, BackendHealth health, LoadTracker loads, DemandTracker demands,
 			RandomGenerator random) {
 		this(backends, health, loads, demands, random, PlacementTuning.DEFAULT);
 	}
@@ -76,7 +76,7 @@
 	 * @param random source of randomness that spreads choices over engines
 	 * @param tuning the thresholds
 	 */
-	public EnginePlacement(BackendTable backends, BackendHealth health, LoadBoard loads, DemandBoard demands,
+	public EnginePlacement(BackendTable backends, BackendHealth health, LoadTracker loads, DemandTracker demands,
 			RandomGenerator random, PlacementTuning tuning) {
 		this.backends = backends;
 		this.health = health;
@@ -94,7 +94,7 @@
 	 */
 	public static boolean isLong(Service service, long promptTokens) {
 		EngineProfile profile = service.engine().orElseThrow();
-		return profile.readMillis(promptTokens) > MOST_READERS
+		return profile.prefillMillis(promptTokens) > MAX_PREFILL_ENGINES
 				* singleEngineMillis(service, profile, PlacementTuning.DEFAULT);
 	}
 
@@ -107,7 +107,7 @@
 	 * @return ms of prefill
 	 */
 	private static double singleEngineMillis(Service service, EngineProfile profile, PlacementTuning tuning) {
-		return tuning.wholeShare() * prefillAllowanceMillis(service, profile);
+		return tuning.singleEngineShare() * prefillAllowanceMillis(service, profile);
 	}
 
 	/**
@@ -119,14 +119,14 @@
 	 */
 	private static double prefillAllowanceMillis(Service service, EngineProfile profile) {
 		double pass = profile.passMillis(profile.slots() / 2, 0);
-		double chunk = profile.readMillis(profile.chunk());
-		return Math.max(chunk, service.aims().strictestPause().toMillis() - pass);
+		double chunk = profile.prefillMillis(profile.chunk());
+		return Math.max(chunk, service.streamTargets().strictestPause().toMillis() - pass);
 	}
 
 	@Override
 	public Placement place(PlacementRequest request) {
 		EngineProfile profile = request.service().engine().orElseThrow();
-		double promptMillis = profile.readMillis(request.promptTokens());
+		double promptMillis = profile.prefillMillis(request.promptTokens());
 		List<Candidate> candidates = candidates(request, profile);
 		if (candidates.stream().noneMatch(Candidate::available)) {
 			return PlainPlacement.refused(this.backends.usable(request.service().name()), request, this.health);
@@ -134,7 +134,7 @@
 		List<Candidate> shortLane = candidates.stream()
 			.filter((candidate) -> !candidate.longLane() && !candidate.avoided())
 			.toList();
-		double shortLanePart = promptMillis / Math.max(1, Math.min(MOST_READERS, shortLane.size()));
+		double shortLanePart = promptMillis / Math.max(1, Math.min(MAX_PREFILL_ENGINES, shortLane.size()));
 		double singleEngineLimit = singleEngineMillis(request.service(), profile, this.tuning);
 		boolean exceedsMemory = neededTokens(request) > Candidate.MAX_MEMORY_SHARE * profile.memoryTokens();
 		if (exceedsMemory || shortLanePart > singleEngineLimit) {
@@ -143,7 +143,7 @@
 		int engineCount = 1;
 		if (promptMillis > singleEngineLimit) {
 			double part = this.tuning.partShare() * prefillAllowanceMillis(request.service(), profile);
-			engineCount = Math.min(MOST_READERS, (int) Math.ceil(promptMillis / part));
+			engineCount = Math.min(MAX_PREFILL_ENGINES, (int) Math.ceil(promptMillis / part));
 		}
 		return refusedIfLate(request, placeShort(request, candidates, shortLane, promptMillis, engineCount));
 	}
@@ -168,7 +168,7 @@
 			.map(Candidate::backend)
 			.toList();
 		double part = promptMillis / (helpers.size() + 1);
-		double firstEvent = slotWait(request, target) + target.load().readMillis() + part + passMillis(target);
+		double firstEvent = slotWait(request, target) + target.load().prefillMillis() + part + passMillis(target);
 		return Placement.at(target.backend(), helpers, part, firstEvent, target.longLane() ? "short, spilt" : "short");
 	}
 
@@ -180,14 +180,15 @@
 	 * @return the engines, or an empty list if the prompt should wait at this daemon
 	 */
 	private List<Candidate> prefillEngines(PlacementRequest request, List<Candidate> lane, double promptMillis) {
-		if (!this.tuning.budgets()) {
+		if (!this.tuning.pauseBudgets()) {
 			return lane;
 		}
-		double part = promptMillis / Math.min(MOST_READERS, lane.size());
+		double part = promptMillis / Math.min(MAX_PREFILL_ENGINES, lane.size());
 		double target = request.route().targetLatency().toMillis();
-		double overdueLimit = Math.max(this.tuning.overdueShare() * target, this.tuning.laterThanBest() * part);
+		double overdueLimit = Math.max(this.tuning.overdueShare() * target, this.tuning.latenessFactor() * part);
 		double latest = Math.max(target - millis(request.waited()), overdueLimit);
-		double idleBacklog = this.tuning.freeShare() * request.service().aims().slowestTarget().toMillis();
+		double idleBacklog = this.tuning.idleBacklogShare()
+				* request.service().streamTargets().slowestTarget().toMillis();
 		return new PrefillEngineSelector(this.tuning.pauseShare(), idleBacklog).select(lane, promptMillis,
 				neededTokens(request), latest);
 	}
@@ -201,10 +202,11 @@
 	 * @return the placement
 	 */
 	private Placement deferred(PlacementRequest request, List<Candidate> lane, double promptMillis) {
-		double backlog = lane.stream().mapToDouble((candidate) -> candidate.load().readMillis()).average().orElse(0);
+		double backlog = lane.stream().mapToDouble((candidate) -> candidate.load().prefillMillis()).average().orElse(0);
 		double ahead = this.demands.waitingAhead(request.service().name(), promptMillis);
 		long freeMemory = lane.stream().mapToLong(Candidate::freeTokens).filter((tokens) -> tokens > 0).sum();
-		return Placement.later(backlog + ahead / lane.size() + promptMillis / Math.min(MOST_READERS, lane.size()),
+		return Placement.waiting(
+				backlog + ahead / lane.size() + promptMillis / Math.min(MAX_PREFILL_ENGINES, lane.size()),
 				(freeMemory < neededTokens(request)) ? "long, no memory free" : "long, waits");
 	}
 
@@ -226,7 +228,7 @@
 			return candidates;
 		}
 		List<Candidate> sample = new ArrayList<>();
-		while (sample.size() < this.tuning.choices() && !available.isEmpty()) {
+		while (sample.size() < this.tuning.sampleSize() && !available.isEmpty()) {
 			sample.add(available.remove(this.random.nextInt(available.size())));
 		}
 		return sample;
@@ -252,7 +254,7 @@
 		if (engines.isEmpty()) {
 			return deferred(request, lane, promptMillis);
 		}
-		double smallestPart = promptMillis / Math.min(MOST_READERS, engines.size());
+		double smallestPart = promptMillis / Math.min(MAX_PREFILL_ENGINES, engines.size());
 		engines.sort(Comparator.comparingDouble(Candidate::prefillScore));
 		Candidate target = mostFreeMemory(engines);
 		if (target == null) {
@@ -260,20 +262,20 @@
 		}
 		double minFirstEvent = FULL_RETRY_DELAY.toMillis() + smallestPart;
 		if (target == null) {
-			return Placement.later(minFirstEvent, "long, all slots taken");
+			return Placement.waiting(minFirstEvent, "long, all slots taken");
 		}
 		Candidate chosen = target;
 		engines.removeIf((candidate) -> candidate == chosen || !candidate.canHelp());
 		List<MemoryHold> holds = holds(neededTokens(request) - target.freeTokens(), engines);
 		if (holds == null) {
-			return Placement.later(minFirstEvent, "long, no memory free");
+			return Placement.waiting(minFirstEvent, "long, no memory free");
 		}
 		List<Backend> helpers = helpers(engines, holds);
 		double part = promptMillis / (helpers.size() + 1);
 		double maxBacklog = engines.stream()
 			.filter((candidate) -> helpers.contains(candidate.backend()))
-			.mapToDouble((candidate) -> candidate.load().readMillis())
-			.reduce(target.load().readMillis(), Math::max);
+			.mapToDouble((candidate) -> candidate.load().prefillMillis())
+			.reduce(target.load().prefillMillis(), Math::max);
 		return Placement.at(target.backend(), helpers, part, maxBacklog + part + passMillis(target), "long")
 			.holding(holds);
 	}
@@ -303,7 +305,7 @@
 	private static List<Backend> helpers(List<Candidate> engines, List<MemoryHold> holds) {
 		List<Backend> helpers = new ArrayList<>(holds.stream().map(MemoryHold::engine).toList());
 		for (Candidate candidate : engines) {
-			if (helpers.size() < MOST_READERS - 1 && !helpers.contains(candidate.backend())) {
+			if (helpers.size() < MAX_PREFILL_ENGINES - 1 && !helpers.contains(candidate.backend())) {
 				helpers.add(candidate.backend());
 			}
 		}
@@ -326,7 +328,7 @@
 		byMemory.sort(Comparator.comparingLong(Candidate::freeTokens).reversed());
 		for (Candidate candidate : byMemory) {
 			if (remaining > 0 && candidate.available() && candidate.freeTokens() > 0
-					&& holds.size() < MOST_READERS - 1) {
+					&& holds.size() < MAX_PREFILL_ENGINES - 1) {
 				long part = Math.min(remaining, candidate.freeTokens());
 				holds.add(new MemoryHold(candidate.backend(), part));
 				remaining -= part;
@@ -341,7 +343,7 @@
 			return 0;
 		}
 		int slots = target.profile().slots();
-		return (excess + 1.0) / slots * target.profile().writeMillis(Math.max(1, request.outputTokens()), slots);
+		return (excess + 1.0) / slots * target.profile().decodeMillis(Math.max(1, request.outputTokens()), slots);
 	}
 
 	private static double passMillis(Candidate target) {
@@ -357,13 +359,14 @@
 	}
 
 	private static Placement refusedIfLate(PlacementRequest request, Placement placement) {
-		double timeLeft = millis(request.left());
-		double late = placement.firstMillis() - timeLeft;
+		double timeLeft = millis(request.timeLeft());
+		double late = placement.firstEventMillis() - timeLeft;
 		if ((placement.target().isEmpty() && !placement.waits()) || late <= 0) {
 			return placement;
 		}
 		Duration retryDelay = Duration.ofMillis(Math.min(MAX_RETRY_DELAY.toMillis(), Math.round(late) + 100));
-		return Placement.refused("first event predicted in " + Math.round(placement.firstMillis()) + " ms", retryDelay);
+		return Placement.refused("first event predicted in " + Math.round(placement.firstEventMillis()) + " ms",
+				retryDelay);
 	}
 
 	/**
@@ -382,26 +385,26 @@
 			.filter((endpoint) -> !limits.limited(endpoint) && !backingOff(endpoint))
 			.collect(Collectors.toSet());
 		LanePlan plan = LanePlan.of(inLanes.size(), profile.slots(), this.demands.shortActive(request.service().name()),
-				this.tuning.shortLaneFill(), this.tuning.shortRoomy());
+				this.tuning.shortLaneFill(), this.tuning.shortLaneFillWithSpare());
 		List<Candidate> candidates = new ArrayList<>();
 		int position = 0;
 		for (Backend backend : usable) {
 			EndpointStart endpoint = backend.start();
 			boolean inLane = inLanes.contains(endpoint);
-			boolean longLane = inLane && this.tuning.lanes() && plan.isLong(position);
+			boolean longLane = inLane && this.tuning.separateLanes() && plan.isLong(position);
 			position += inLane ? 1 : 0;
 			if (!request.tried().contains(endpoint)) {
 				double penalty = FAILURE_PENALTY_MILLIS * this.health.failures(endpoint);
 				boolean backingOff = backingOff(endpoint);
 				candidates.add(new Candidate(backend, this.loads.load(endpoint), longLane, this.health.avoid(endpoint),
-						backingOff, !backingOff && limits.open(endpoint), penalty, profile));
+						backingOff, !backingOff && limits.permits(endpoint), penalty, profile));
 			}
 		}
 		return candidates;
 	}
 
 	private boolean backingOff(EndpointStart endpoint) {
-		return !this.health.restLeft(endpoint).isZero();
+		return !this.health.backoffLeft(endpoint).isZero();
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/LanePlan.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/LanePlan.java
@@ -50,7 +50,7 @@
 		int shortReserve = Math.max(1, (int) Math.round(engines * SHORT_RESERVE));
 		int needed = enginesFor(shortActive, slots, shortLaneFill);
 		int neededWithSpare = Math.min(enginesFor(shortActive, slots, shortRoomy),
-				engines - EnginePlacement.MOST_READERS);
+				engines - EnginePlacement.MAX_PREFILL_ENGINES);
 		int forShort = Math.max(shortReserve, Math.max(needed, neededWithSpare));
 		int longReserve = Math.max(1, (int) Math.round(engines * LONG_RESERVE));
 		int longEngines = Math.max(Math.min(longReserve, engines - 1), engines - forShort);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacedWork.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacedWork.java
@@ -6,7 +6,7 @@
 import org.bramleyscale.internal.gateway.backend.Backend;
 import org.bramleyscale.internal.gateway.catalog.Route;
 import org.bramleyscale.internal.gateway.load.EndpointLoad;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 
 /**
  * The load of one placed request: its work at the target and at each helper.
@@ -17,7 +17,7 @@
  */
 public final class PlacedWork {
 
-	private final List<LoadBoard.Work> parts = new ArrayList<>();
+	private final List<LoadTracker.Work> parts = new ArrayList<>();
 
 	private PlacedWork() {
 	}
@@ -31,12 +31,12 @@
 	 * @return the work, on which the caller reports the end of the prefill and of the
 	 * request
 	 */
-	public static PlacedWork begin(LoadBoard loads, Placement placement, Route route, long tokens) {
+	public static PlacedWork begin(LoadTracker loads, Placement placement, Route route, long tokens) {
 		PlacedWork work = new PlacedWork();
-		work.parts.add(loads.begin(placement.target().orElseThrow().start(), placement.readMillis(),
+		work.parts.add(loads.begin(placement.target().orElseThrow().start(), placement.prefillMillis(),
 				Math.max(0, tokens - placement.heldTokens()), true, pauseMillis(route)));
 		for (Backend helper : placement.helpers()) {
-			work.parts.add(loads.begin(helper.start(), placement.readMillis(), placement.heldAt(helper), false,
+			work.parts.add(loads.begin(helper.start(), placement.prefillMillis(), placement.heldAt(helper), false,
 					EndpointLoad.ANY_PAUSE));
 		}
 		return work;
@@ -45,15 +45,15 @@
 	/**
 	 * Records that the prefill of the prompt has completed.
 	 */
-	public void read() {
-		this.parts.forEach(LoadBoard.Work::prefillDone);
+	public void prefillDone() {
+		this.parts.forEach(LoadTracker.Work::prefillDone);
 	}
 
 	/**
 	 * Records that the request has ended; has no effect when called again.
 	 */
 	public void end() {
-		this.parts.forEach(LoadBoard.Work::end);
+		this.parts.forEach(LoadTracker.Work::end);
 	}
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/Placement.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/Placement.java
@@ -17,20 +17,21 @@
  * @param target the endpoint, or empty if the request is refused or waits
  * @param helpers engines that prefill parts of the prompt
  * @param holds memory that must be held on some of the helpers before the request is sent
- * @param readMillis the prefill time of the target's and of each helper's part, ms
- * @param firstMillis the predicted time until the first event, or until the answer, ms
+ * @param prefillMillis the prefill time of the target's and of each helper's part, ms
+ * @param firstEventMillis the predicted time until the first event, or until the answer,
+ * ms
  * @param reason the reason for the decision
  * @param retryAfter the delay after which a refused caller should retry
  * @param waits whether the request should be placed again after a short delay
  */
-public record Placement(Optional<Backend> target, List<Backend> helpers, List<MemoryHold> holds, double readMillis,
-		double firstMillis, String reason, Duration retryAfter, boolean waits) {
+public record Placement(Optional<Backend> target, List<Backend> helpers, List<MemoryHold> holds, double prefillMillis,
+		double firstEventMillis, String reason, Duration retryAfter, boolean waits) {
 
 	/**
 	 * The delay after which a waiting request is placed again. The prefill of a part of a
 	 * long prompt takes several times as long, so hardly any engine time is lost.
 	 */
-	public static final Duration PLACED_AGAIN = Duration.ofMillis(25);
+	public static final Duration RETRY_INTERVAL = Duration.ofMillis(25);
 
 	/**
 	 * A placement at an endpoint.
@@ -53,8 +54,8 @@
 	 * @return the placement
 	 */
 	public Placement holding(List<MemoryHold> requested) {
-		return new Placement(this.target, this.helpers, List.copyOf(requested), this.readMillis, this.firstMillis,
-				this.reason, this.retryAfter, this.waits);
+		return new Placement(this.target, this.helpers, List.copyOf(requested), this.prefillMillis,
+				this.firstEventMillis, this.reason, this.retryAfter, this.waits);
 	}
 
 	/**
@@ -91,7 +92,7 @@
 	 * @param reason the reason for waiting
 	 * @return the placement
 	 */
-	public static Placement later(double firstMillis, String reason) {
+	public static Placement waiting(double firstMillis, String reason) {
 		return new Placement(Optional.empty(), List.of(), List.of(), 0, firstMillis, reason, Duration.ZERO, true);
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacementTuning.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacementTuning.java
@@ -18,38 +18,38 @@
 
 	private final double pauseShare;
 
-	private final double wholeShare;
+	private final double singleEngineShare;
 
 	private final double partShare;
 
 	private final double shortLaneFill;
 
-	private final double shortRoomy;
+	private final double shortLaneFillWithSpare;
 
-	private final double freeShare;
+	private final double idleBacklogShare;
 
-	private final double laterThanBest;
+	private final double latenessFactor;
 
 	private final double overdueShare;
 
-	private final int choices;
+	private final int sampleSize;
 
-	private final boolean lanes;
+	private final boolean separateLanes;
 
-	private final boolean budgets;
+	private final boolean pauseBudgets;
 
 	private PlacementTuning(Builder builder) {
 		this.pauseShare = builder.pauseShare;
-		this.wholeShare = builder.wholeShare;
+		this.singleEngineShare = builder.singleEngineShare;
 		this.partShare = builder.partShare;
 		this.shortLaneFill = builder.shortLaneFill;
-		this.shortRoomy = builder.shortRoomy;
-		this.freeShare = builder.freeShare;
-		this.laterThanBest = builder.laterThanBest;
+		this.shortLaneFillWithSpare = builder.shortLaneFillWithSpare;
+		this.idleBacklogShare = builder.idleBacklogShare;
+		this.latenessFactor = builder.latenessFactor;
 		this.overdueShare = builder.overdueShare;
-		this.choices = builder.choices;
-		this.lanes = builder.lanes;
-		this.budgets = builder.budgets;
+		this.sampleSize = builder.sampleSize;
+		this.separateLanes = builder.separateLanes;
+		this.pauseBudgets = builder.pauseBudgets;
 	}
 
 	/**
@@ -77,8 +77,8 @@
 	 * @return the share; 0.45 and 0.6 differ by less than 0.005, 0.4 loses up to 0.007,
 	 * 0.75 up to 0.02
 	 */
-	double wholeShare() {
-		return this.wholeShare;
+	double singleEngineShare() {
+		return this.singleEngineShare;
 	}
 
 	/**
@@ -108,8 +108,8 @@
 	 * 0.018.
 	 * @return the share; 0.4 is 0.006 worse with 172 engines
 	 */
-	double shortRoomy() {
-		return this.shortRoomy;
+	double shortLaneFillWithSpare() {
+		return this.shortLaneFillWithSpare;
 	}
 
 	/**
@@ -120,8 +120,8 @@
 	 * @return the share; 0.25 to 0.5 differ by less than 0.005, 0.12 loses 0.007 to 0.04,
 	 * no bound loses 0.006 to 0.017
 	 */
-	double freeShare() {
-		return this.freeShare;
+	double idleBacklogShare() {
+		return this.idleBacklogShare;
 	}
 
 	/**
@@ -132,8 +132,8 @@
 	 * @return the factor; 2.5 loses 0.001 to 0.008, without it 0.002 to 0.015 are lost,
 	 * 1.1 gains up to 0.004 and refuses two to five times as many
 	 */
-	double laterThanBest() {
-		return this.laterThanBest;
+	double latenessFactor() {
+		return this.latenessFactor;
 	}
 
 	/**
@@ -155,16 +155,16 @@
 	 * prompts were in time with 3, 0.89 with 2, 0.80 with 5, 0.15 with all.
 	 * @return the number
 	 */
-	int choices() {
-		return this.choices;
+	int sampleSize() {
+		return this.sampleSize;
 	}
 
 	/**
 	 * Whether long prompts have engines of their own.
 	 * @return false only in experiments
 	 */
-	boolean lanes() {
-		return this.lanes;
+	boolean separateLanes() {
+		return this.separateLanes;
 	}
 
 	/**
@@ -172,8 +172,8 @@
 	 * streams.
 	 * @return false only in experiments
 	 */
-	boolean budgets() {
-		return this.budgets;
+	boolean pauseBudgets() {
+		return this.pauseBudgets;
 	}
 
 	/**
@@ -183,25 +183,25 @@
 
 		private double pauseShare = 0.9;
 
-		private double wholeShare = 0.55;
+		private double singleEngineShare = 0.55;
 
 		private double partShare = 0.3;
 
 		private double shortLaneFill = 0.7;
 
-		private double shortRoomy = 0.5;
+		private double shortLaneFillWithSpare = 0.5;
 
-		private double freeShare = 0.35;
+		private double idleBacklogShare = 0.35;
 
-		private double laterThanBest = 1.5;
+		private double latenessFactor = 1.5;
 
 		private double overdueShare = 0.4;
 
-		private int choices = 3;
+		private int sampleSize = 3;
 
-		private boolean lanes = true;
+		private boolean separateLanes = true;
 
-		private boolean budgets = true;
+		private boolean pauseBudgets = true;
 
 		private Builder() {
 		}
@@ -217,12 +217,12 @@
 		}
 
 		/**
-		 * Sets {@link PlacementTuning#wholeShare()}.
+		 * Sets {@link PlacementTuning#singleEngineShare()}.
 		 * @param value a share of the time for prefill
 		 * @return this builder
 		 */
-		public Builder wholeShare(double value) {
-			this.wholeShare = value;
+		public Builder singleEngineShare(double value) {
+			this.singleEngineShare = value;
 			return this;
 		}
 
@@ -247,33 +247,33 @@
 		}
 
 		/**
-		 * Sets {@link PlacementTuning#shortRoomy()}.
+		 * Sets {@link PlacementTuning#shortLaneFillWithSpare()}.
 		 * @param value a share of the slots, 0 to 1;
 		 * {@link PlacementTuning#shortLaneFill()} treats fleets of all sizes alike
 		 * @return this builder
 		 */
-		public Builder shortRoomy(double value) {
-			this.shortRoomy = value;
+		public Builder shortLaneFillWithSpare(double value) {
+			this.shortLaneFillWithSpare = value;
 			return this;
 		}
 
 		/**
-		 * Sets {@link PlacementTuning#freeShare()}.
+		 * Sets {@link PlacementTuning#idleBacklogShare()}.
 		 * @param value a share of the slowest target
 		 * @return this builder
 		 */
-		public Builder freeShare(double value) {
-			this.freeShare = value;
+		public Builder idleBacklogShare(double value) {
+			this.idleBacklogShare = value;
 			return this;
 		}
 
 		/**
-		 * Sets {@link PlacementTuning#laterThanBest()}.
+		 * Sets {@link PlacementTuning#latenessFactor()}.
 		 * @param value a factor, 1 or more
 		 * @return this builder
 		 */
-		public Builder laterThanBest(double value) {
-			this.laterThanBest = value;
+		public Builder latenessFactor(double value) {
+			this.latenessFactor = value;
 			return this;
 		}
 
@@ -288,32 +288,32 @@
 		}
 
 		/**
-		 * Sets {@link PlacementTuning#choices()}.
+		 * Sets {@link PlacementTuning#sampleSize()}.
 		 * @param value the number of engines, 1 or more
 		 * @return this builder
 		 */
-		public Builder choices(int value) {
-			this.choices = value;
+		public Builder sampleSize(int value) {
+			this.sampleSize = value;
 			return this;
 		}
 
 		/**
-		 * Sets {@link PlacementTuning#lanes()}.
+		 * Sets {@link PlacementTuning#separateLanes()}.
 		 * @param value false to place long prompts on any engine
 		 * @return this builder
 		 */
-		public Builder lanes(boolean value) {
-			this.lanes = value;
+		public Builder separateLanes(boolean value) {
+			this.separateLanes = value;
 			return this;
 		}
 
 		/**
-		 * Sets {@link PlacementTuning#budgets()}.
+		 * Sets {@link PlacementTuning#pauseBudgets()}.
 		 * @param value false to use the whole lane at once for each long prompt
 		 * @return this builder
 		 */
-		public Builder budgets(boolean value) {
-			this.budgets = value;
+		public Builder pauseBudgets(boolean value) {
+			this.pauseBudgets = value;
 			return this;
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlainPlacement.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlainPlacement.java
@@ -8,7 +8,7 @@
 import org.bramleyscale.internal.gateway.backend.Backend;
 import org.bramleyscale.internal.gateway.backend.BackendHealth;
 import org.bramleyscale.internal.gateway.backend.BackendTable;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 
 /**
  * Sends requests of plain services to the endpoint with the largest share of free slots.
@@ -48,11 +48,11 @@
 
 	private final BackendHealth health;
 
-	private final LoadBoard loads;
+	private final LoadTracker loads;
 
 	private final RandomGenerator random;
 
-	public PlainPlacement(BackendTable backends, BackendHealth health, LoadBoard loads, RandomGenerator random) {
+	public PlainPlacement(BackendTable backends, BackendHealth health, LoadTracker loads, RandomGenerator random) {
 		this.backends = backends;
 		this.health = health;
 		this.loads = loads;
@@ -100,10 +100,10 @@
 		if (usable.isEmpty()) {
 			return "no endpoint";
 		}
-		if (usable.stream().noneMatch((backend) -> health.restLeft(backend.start()).isZero())) {
+		if (usable.stream().noneMatch((backend) -> health.backoffLeft(backend.start()).isZero())) {
 			return "all endpoints asked for rest";
 		}
-		boolean limited = usable.stream().anyMatch((backend) -> !request.limits().open(backend.start()));
+		boolean limited = usable.stream().anyMatch((backend) -> !request.limits().permits(backend.start()));
 		return limited ? "limits of endpoints reached" : "no other endpoint";
 	}
 
@@ -115,8 +115,8 @@
 	 * @return the time, zero if it is available now
 	 */
 	private static Duration availableIn(Backend backend, PlacementRequest request, BackendHealth health) {
-		Duration rest = health.restLeft(backend.start());
-		return (rest.isZero() && !request.limits().open(backend.start())) ? LIMITED_RETRY_DELAY : rest;
+		Duration rest = health.backoffLeft(backend.start());
+		return (rest.isZero() && !request.limits().permits(backend.start())) ? LIMITED_RETRY_DELAY : rest;
 	}
 
 	private double score(Backend backend, PlacementRequest request) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PrefillEngineSelector.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PrefillEngineSelector.java
@@ -49,9 +49,9 @@
 		double earliest = latestMillis;
 		double maxBacklog = 0;
 		long memory = 0;
-		for (int count = 1; count <= Math.min(EnginePlacement.MOST_READERS, byHeadroom.size()); count++) {
+		for (int count = 1; count <= Math.min(EnginePlacement.MAX_PREFILL_ENGINES, byHeadroom.size()); count++) {
 			Candidate last = byHeadroom.get(count - 1);
-			maxBacklog = Math.max(maxBacklog, last.load().readMillis());
+			maxBacklog = Math.max(maxBacklog, last.load().prefillMillis());
 			memory += Math.max(0, last.freeTokens());
 			double part = promptMillis / count;
 			if (part <= headroomMillis(last) && memory >= memoryTokens && maxBacklog + part <= earliest) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/Attempt.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/Attempt.java
@@ -128,7 +128,7 @@
 				close();
 				this.request.notSent("memory", "no memory free for engine " + this.target.id());
 			}
-			else if (!this.ports.notices().takes(this.target)) {
+			else if (!this.ports.notices().acceptsRequests(this.target)) {
 				close();
 				this.request.notSent("closed", "engine " + this.target.id() + " is leaving or asked for back-off");
 			}
@@ -171,7 +171,7 @@
 	}
 
 	double predictedMillis() {
-		return this.placement.firstMillis();
+		return this.placement.firstEventMillis();
 	}
 
 	/**
@@ -184,7 +184,7 @@
 
 	void setReading(boolean on) {
 		if (!this.closed && this.exchange != null) {
-			this.exchange.reading(on);
+			this.exchange.setReading(on);
 			if (on) {
 				restartSilenceTimer(silenceTimeout());
 			}
@@ -228,7 +228,7 @@
 		}
 		List<EventSplitter.Event> events = this.splitter.append(data);
 		if (!events.isEmpty()) {
-			this.work.read();
+			this.work.prefillDone();
 			restartSilenceTimer(silenceTimeout());
 		}
 		for (EventSplitter.Event event : events) {
@@ -286,9 +286,9 @@
 	 */
 	private Duration firstEventTimeout() {
 		Route route = this.request.route();
-		double predicted = 2 * this.placement.firstMillis() + FIRST_EVENT_SLACK.toMillis();
+		double predicted = 2 * this.placement.firstEventMillis() + FIRST_EVENT_SLACK.toMillis();
 		double target = 2 * route.targetLatency().toMillis() + TARGET_SLACK.toMillis();
-		double limit = PATIENCE_FRACTION * route.patience().toMillis();
+		double limit = PATIENCE_FRACTION * route.callerTimeout().toMillis();
 		if (!route.streaming()) {
 			limit = TIME_LEFT_FRACTION * this.request.timeLeft().toMillis();
 		}
@@ -299,7 +299,7 @@
 		Route route = this.request.route();
 		long longestSilence = Math.max(MIN_SILENCE_TIMEOUT.toMillis(),
 				MAX_PAUSE_MULTIPLE * route.longestPause().toMillis());
-		return Duration.ofMillis((long) Math.min(longestSilence, PATIENCE_FRACTION * route.patience().toMillis()));
+		return Duration.ofMillis((long) Math.min(longestSilence, PATIENCE_FRACTION * route.callerTimeout().toMillis()));
 	}
 
 	private void restartSilenceTimer(Duration limit) {
@@ -325,7 +325,7 @@
 	 * @param silence the length of the silence
 	 */
 	private void silenceTimedOut(Duration silence) {
-		double remainingPrefill = this.ports.loads().load(this.target.start()).readMillis();
+		double remainingPrefill = this.ports.loads().load(this.target.start()).prefillMillis();
 		if (this.placement.helpers().isEmpty() || remainingPrefill < BUSY_PREFILL_MILLIS
 				|| this.extensions == MAX_EXTENSIONS) {
 			this.request.attemptTimedOut(this);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/BackendClient.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/BackendClient.java
@@ -34,7 +34,7 @@
 		 * Sets whether to read the response.
 		 * @param on false while the caller doesn't read
 		 */
-		void reading(boolean on);
+		void setReading(boolean on);
 
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/CallerReply.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/CallerReply.java
@@ -18,7 +18,7 @@
 	 * @param headers its end-to-end headers
 	 * @param body its body
 	 */
-	void whole(int status, List<Header> headers, byte[] body);
+	void sendResponse(int status, List<Header> headers, byte[] body);
 
 	/**
 	 * Sends a response that the daemon itself produces.
@@ -26,14 +26,14 @@
 	 * @param reason the reason, for the caller's log
 	 * @param retryAfter when the caller should retry; not sent if zero or negative
 	 */
-	void own(int status, String reason, Duration retryAfter);
+	void sendOwnResponse(int status, String reason, Duration retryAfter);
 
 	/**
 	 * Starts a streamed response.
 	 * @param status the endpoint's status
 	 * @param headers its end-to-end headers
 	 */
-	void begin(int status, List<Header> headers);
+	void startStream(int status, List<Header> headers);
 
 	/**
 	 * Sends a part of the stream without delay.
@@ -46,12 +46,12 @@
 	 * Sets the task to run when the caller reads again after it had stopped reading.
 	 * @param task the task
 	 */
-	void onReadsAgain(Runnable task);
+	void onWritable(Runnable task);
 
 	/**
 	 * Completes the stream.
 	 */
-	void end();
+	void endStream();
 
 	/**
 	 * Aborts the stream in such a way that it can't be taken for complete.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/CallerRequestHandler.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/CallerRequestHandler.java
@@ -14,6 +14,6 @@
 	 * @param reply the response to the caller, used once
 	 * @return the task to run when the caller disconnects
 	 */
-	Runnable take(CallerRequest request, CallerReply reply);
+	Runnable handle(CallerRequest request, CallerReply reply);
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/DeferredRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/DeferredRequest.java
@@ -51,9 +51,9 @@
 			this.ports.demands().waitBegan(this.service, this.prefillMillis);
 			this.ports.log()
 				.request(this.requestId, "kept", "reason", placement.reason(), "predicted_ms",
-						Math.round(placement.firstMillis()), "left_ms", left.toMillis());
+						Math.round(placement.firstEventMillis()), "left_ms", left.toMillis());
 		}
-		this.timer = this.ports.scheduler().schedule(Placement.PLACED_AGAIN, retry);
+		this.timer = this.ports.scheduler().schedule(Placement.RETRY_INTERVAL, retry);
 	}
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/GatewayPorts.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/GatewayPorts.java
@@ -6,11 +6,11 @@
 import org.bramleyscale.internal.gateway.crash.CrashGuard;
 import org.bramleyscale.internal.gateway.hold.MemoryHolds;
 import org.bramleyscale.internal.gateway.limit.EndpointLimits;
-import org.bramleyscale.internal.gateway.load.DemandBoard;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.load.DemandTracker;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.gateway.placement.PlacementPolicy;
-import org.bramleyscale.internal.gateway.retry.RetryWindow;
+import org.bramleyscale.internal.gateway.retry.RetryBudget;
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
@@ -33,7 +33,7 @@
  * @param metrics records outcomes and durations
  */
 public record GatewayPorts(Scheduler scheduler, DataCentre dataCentre, BackendClient client, PlacementPolicy placement,
-		EndpointNotices notices, BackendHealth health, LoadBoard loads, DemandBoard demands, RetryWindow retries,
+		EndpointNotices notices, BackendHealth health, LoadTracker loads, DemandTracker demands, RetryBudget retries,
 		EndpointLimits limits, CrashGuard crashes, MemoryHolds holds, Runnable onLongPromptSent, DecisionLog log,
 		GatewayMetrics metrics) {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/GatewayService.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/GatewayService.java
@@ -65,7 +65,7 @@
 	}
 
 	@Override
-	public Runnable take(CallerRequest request, CallerReply reply) {
+	public Runnable handle(CallerRequest request, CallerReply reply) {
 		Catalog catalog = this.catalogs.current().orElse(null);
 		if (catalog == null) {
 			return refuse(request, reply, UNAVAILABLE, "no configuration yet", NO_CATALOG_RETRY_AFTER, 0);
@@ -93,7 +93,7 @@
 	 * Returns the number of requests that haven't ended.
 	 * @return the number
 	 */
-	public int unfinished() {
+	public int activeRequestCount() {
 		return this.activeRequests.size();
 	}
 
@@ -126,7 +126,7 @@
 			.request(request.id(), "refused", "status", status, "reason", reason, "catalog", version, "host",
 					request.host(), "path", request.path());
 		this.ports.metrics().requestEnded("refused");
-		reply.own(status, reason, retryAfter);
+		reply.sendOwnResponse(status, reason, retryAfter);
 		return () -> {
 		};
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/RelayedRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/RelayedRequest.java
@@ -96,7 +96,7 @@
 
 	void start() {
 		Service service = this.resolved.service();
-		this.ports.retries().first(service.name());
+		this.ports.retries().recordRequest(service.name());
 		if (!this.longPrompt) {
 			this.ports.demands().shortBegan(service.name());
 		}
@@ -161,7 +161,7 @@
 	 */
 	void noticeReceived(Backend endpoint, EndpointNotice notice) {
 		this.log.noticeReceived(endpoint, notice);
-		this.ports.notices().heard(endpoint.start(), notice);
+		this.ports.notices().apply(endpoint.start(), notice);
 	}
 
 	void responseReceived(Attempt from, BackendHead head, byte[] body) {
@@ -184,7 +184,7 @@
 		else {
 			this.retryState.recordPossibleRun();
 			this.ports.health().answered(from.target().start(), head.failure());
-			this.reply.whole(head.status(), head.headers(), body);
+			this.reply.sendResponse(head.status(), head.headers(), body);
 			this.ports.metrics().recordResponse(elapsed().toNanos());
 			finish("completed", head.success() ? "completed" : "failed", "status", head.status(), "endpoint",
 					from.target().id());
@@ -206,8 +206,8 @@
 			Duration elapsed = elapsed();
 			this.ports.metrics().recordFirstEvent(this.longPrompt, elapsed.toNanos());
 			this.log.firstEvent(from.target(), elapsed, from.predictedMillis());
-			this.reply.onReadsAgain(this::callerWritable);
-			this.reply.begin(head.status(), head.headers());
+			this.reply.onWritable(this::callerWritable);
+			this.reply.startStream(head.status(), head.headers());
 		}
 		if (event.id() != null) {
 			this.lastEventId = event.id();
@@ -233,14 +233,14 @@
 		this.retryState.recordPossibleRun();
 		if (!this.responseStarted) {
 			this.responseStarted = true;
-			this.reply.begin(head.status(), head.headers());
+			this.reply.startStream(head.status(), head.headers());
 		}
 		if (rest.length > 0) {
 			this.reply.write(rest);
 		}
 		this.ports.health().served(from.target().start());
 		this.gate.endpointSurvived();
-		this.reply.end();
+		this.reply.endStream();
 		finish("completed", "completed", "endpoint", from.target().id(), "last_event", this.lastEventId);
 	}
 
@@ -323,7 +323,7 @@
 	 * @return the time
 	 */
 	private Duration callerTimeLeft() {
-		Duration patience = this.resolved.route().patience().minus(elapsed());
+		Duration patience = this.resolved.route().callerTimeout().minus(elapsed());
 		return (!this.responseStarted && patience.compareTo(timeLeft()) < 0) ? patience : timeLeft();
 	}
 
@@ -331,7 +331,7 @@
 		this.ports.metrics().requestResent("refused");
 		this.log.refused(from.target(), head);
 		EndpointStart atFault = from.endpointAtFault(head);
-		if (this.ports.health().restLeft(atFault).isZero()) {
+		if (this.ports.health().backoffLeft(atFault).isZero()) {
 			this.ports.health().unreachable(atFault, "refused with " + head.status());
 		}
 		retryOrGiveUp(true, "endpoints refused");
@@ -386,7 +386,7 @@
 			this.reply.abort();
 		}
 		else {
-			this.reply.own(reportedStatus, reason, retryAfter);
+			this.reply.sendOwnResponse(reportedStatus, reason, retryAfter);
 		}
 		finish(ran ? "failed" : "refused", ran ? "failed" : "refused", "status", reportedStatus, "reason", reason,
 				"ran", ran ? "unknown" : "no", "retry_after_ms", retryAfter.toMillis(), "asked",
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/RequestLog.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/RequestLog.java
@@ -37,7 +37,7 @@
 			.map((engine) -> engine.id().value())
 			.collect(Collectors.joining(" "));
 		write("sent", "endpoint", placement.target().orElseThrow().id(), "reason", placement.reason(), "helpers",
-				helpers, "predicted_ms", Math.round(placement.firstMillis()), "asked", attempts, "left_ms",
+				helpers, "predicted_ms", Math.round(placement.firstEventMillis()), "asked", attempts, "left_ms",
 				left.toMillis(), "catalog", catalog, "after_event", lastEventId, "digest", this.digest);
 	}
 
@@ -52,9 +52,9 @@
 	 * @param notice what it reports about itself
 	 */
 	void noticeReceived(Backend endpoint, EndpointNotice notice) {
-		if (notice.leaving() || notice.rest().isPresent()) {
+		if (notice.leaving() || notice.backoff().isPresent()) {
 			write("endpoint says", "endpoint", endpoint.id(), "leaving", notice.leaving(), "rest_ms",
-					notice.rest().map(Duration::toMillis).orElse(null));
+					notice.backoff().map(Duration::toMillis).orElse(null));
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/ResolvedRoute.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/ResolvedRoute.java
@@ -49,7 +49,7 @@
 	 * @return ms, 0 if the service has no engines
 	 */
 	double prefillMillis(long promptTokens) {
-		return this.service.engine().map((engine) -> engine.readMillis(promptTokens)).orElse(0.0);
+		return this.service.engine().map((engine) -> engine.prefillMillis(promptTokens)).orElse(0.0);
 	}
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/RetryState.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/RetryState.java
@@ -5,7 +5,7 @@
 
 import org.bramleyscale.internal.gateway.backend.EndpointStart;
 import org.bramleyscale.internal.gateway.catalog.Route;
-import org.bramleyscale.internal.gateway.retry.RetryWindow;
+import org.bramleyscale.internal.gateway.retry.RetryBudget;
 
 /**
  * Tracks the attempts of one request and decides whether it may be resent.
@@ -24,7 +24,7 @@
 	 */
 	private static final int MAX_ATTEMPTS = 4;
 
-	private final RetryWindow budget;
+	private final RetryBudget budget;
 
 	private final ResolvedRoute resolved;
 
@@ -34,7 +34,7 @@
 
 	private int possibleRuns;
 
-	RetryState(RetryWindow budget, ResolvedRoute resolved) {
+	RetryState(RetryBudget budget, ResolvedRoute resolved) {
 		this.budget = budget;
 		this.resolved = resolved;
 	}
@@ -98,7 +98,7 @@
 	}
 
 	private boolean acquireFromBudget() {
-		return this.budget.repeat(this.resolved.service().name());
+		return this.budget.tryRetry(this.resolved.service().name());
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/SendGate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/SendGate.java
@@ -79,7 +79,7 @@
 				recheckLater(send);
 			});
 			case WAIT -> recheckLater(send);
-			case DEADLY -> this.refusal.refuse("endpoints end under this request", CRASHING_RETRY_AFTER);
+			case BLOCKED -> this.refusal.refuse("endpoints end under this request", CRASHING_RETRY_AFTER);
 		}
 	}
 
@@ -101,7 +101,7 @@
 	}
 
 	void endpointFailed(Backend endpoint) {
-		this.crashes.fell(this.digest, endpoint);
+		this.crashes.connectionLost(this.digest, endpoint);
 	}
 
 	/**
@@ -114,7 +114,7 @@
 	}
 
 	void endpointSurvived() {
-		this.crashes.survived(this.digest);
+		this.crashes.completed(this.digest);
 	}
 
 	void close() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/StartQueue.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/StartupQueue.java
@@ -22,7 +22,7 @@
  * CallerRequestHandler requests = new StartQueue(scheduler, node::ready, service);
  * </pre>
  */
-public final class StartQueue implements CallerRequestHandler {
+public final class StartupQueue implements CallerRequestHandler {
 
 	/**
 	 * Copies of the store's objects arrive from peers or from the store within 0.1 to 0.5
@@ -52,7 +52,7 @@
 	 * @param ready whether the daemon knows the configuration and the endpoints
 	 * @param next handles the requests after that
 	 */
-	public StartQueue(Scheduler scheduler, BooleanSupplier ready, CallerRequestHandler next) {
+	public StartupQueue(Scheduler scheduler, BooleanSupplier ready, CallerRequestHandler next) {
 		this.scheduler = scheduler;
 		this.ready = ready;
 		this.next = next;
@@ -60,9 +60,9 @@
 	}
 
 	@Override
-	public Runnable take(CallerRequest request, CallerReply reply) {
+	public Runnable handle(CallerRequest request, CallerReply reply) {
 		if (checkOpen()) {
-			return this.next.take(request, reply);
+			return this.next.handle(request, reply);
 		}
 		if (this.held.isEmpty()) {
 			this.scheduler.schedule(POLL_INTERVAL, this::poll);
@@ -98,7 +98,7 @@
 
 		private final CallerReply reply;
 
-		private final long takenAt = StartQueue.this.scheduler.nanos();
+		private final long takenAt = StartupQueue.this.scheduler.nanos();
 
 		private boolean disconnected;
 
@@ -112,8 +112,8 @@
 
 		private void pass() {
 			if (!this.disconnected) {
-				Duration waited = Duration.ofNanos(StartQueue.this.scheduler.nanos() - this.takenAt);
-				this.onDisconnect = StartQueue.this.next.take(this.request.afterWaiting(waited), this.reply);
+				Duration waited = Duration.ofNanos(StartupQueue.this.scheduler.nanos() - this.takenAt);
+				this.onDisconnect = StartupQueue.this.next.handle(this.request.afterWaiting(waited), this.reply);
 			}
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/retry/RetryWindow.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/retry/RetryBudget.java
@@ -21,7 +21,7 @@
  * also between daemons that are partitioned from each other. Confined to the scheduler's
  * thread.
  */
-public final class RetryWindow {
+public final class RetryBudget {
 
 	/**
 	 * The share of the constant that is used. Restarted daemons lose their count of
@@ -53,7 +53,7 @@
 	 * together
 	 * @param daemons the number of daemons, at least 1
 	 */
-	public RetryWindow(Clock clock, Duration window, double ratio, double constant, IntSupplier daemons) {
+	public RetryBudget(Clock clock, Duration window, double ratio, double constant, IntSupplier daemons) {
 		this.clock = clock;
 		this.bucketNanos = window.toNanos() / BUCKETS;
 		this.ratio = ratio;
@@ -65,7 +65,7 @@
 	 * Records the first attempt of a request.
 	 * @param service the service
 	 */
-	public void first(ServiceName service) {
+	public void recordRequest(ServiceName service) {
 		window(service).currentBucket(this.clock.nanos()).requests++;
 	}
 
@@ -74,7 +74,7 @@
 	 * @param service the service
 	 * @return false if the budget is exhausted
 	 */
-	public boolean repeat(ServiceName service) {
+	public boolean tryRetry(ServiceName service) {
 		Window window = window(service);
 		Bucket bucket = window.currentBucket(this.clock.nanos());
 		int requests = 0;
@@ -103,7 +103,7 @@
 		private final Deque<Bucket> buckets = new ArrayDeque<>();
 
 		private Bucket currentBucket(long now) {
-			long index = Math.floorDiv(now, RetryWindow.this.bucketNanos);
+			long index = Math.floorDiv(now, RetryBudget.this.bucketNanos);
 			while (!this.buckets.isEmpty() && this.buckets.peekFirst().index <= index - BUCKETS) {
 				this.buckets.removeFirst();
 			}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/BackendHealthTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/BackendHealthTests.java
@@ -14,7 +14,7 @@
  */
 class BackendHealthTests {
 
-	private static final EndpointStart ID = EndpointStart.untold("a");
+	private static final EndpointStart ID = EndpointStart.withUnknownStart("a");
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
@@ -59,13 +59,13 @@
 	 */
 	@Test
 	void requestedBackoffIsNotCutShortByLaterEvents() {
-		this.health.asksForRest(ID, Duration.ofSeconds(3));
-		this.health.asksForRest(ID, Duration.ofSeconds(1));
+		this.health.backoffRequested(ID, Duration.ofSeconds(3));
+		this.health.backoffRequested(ID, Duration.ofSeconds(1));
 		this.health.served(ID);
 		this.health.forget(ID);
 		this.scheduler.advance(Duration.ofMillis(2_999));
 		Truth.assertThat(this.health.avoid(ID)).isTrue();
-		Truth.assertThat(this.health.restLeft(ID)).isEqualTo(Duration.ofMillis(1));
+		Truth.assertThat(this.health.backoffLeft(ID)).isEqualTo(Duration.ofMillis(1));
 		this.scheduler.advance(Duration.ofMillis(1));
 		Truth.assertThat(this.health.avoid(ID)).isFalse();
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/BackendTableTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/BackendTableTests.java
@@ -63,8 +63,8 @@
 	void leavingEndpointStaysDrainingWhateverItsEntrySays() {
 		Backend ready = started("a", 1_000);
 		this.table.put(ready);
-		this.table.leaves(ready.start());
-		Truth.assertThat(this.table.offers(ready)).isFalse();
+		this.table.announceLeaving(ready.start());
+		Truth.assertThat(this.table.acceptsRequests(ready)).isFalse();
 		this.table.put(ready);
 		Truth.assertThat(this.table.usable(SERVICE)).isEmpty();
 		this.table.remove(ready.id(), true);
@@ -78,7 +78,7 @@
 	@Test
 	void endpointMayLeaveBeforeItsEntryIsKnown() {
 		Backend ready = started("a", 1_000);
-		this.table.leaves(ready.start());
+		this.table.announceLeaving(ready.start());
 		this.table.put(ready);
 		Truth.assertThat(this.table.usable(SERVICE)).isEmpty();
 	}
@@ -110,11 +110,11 @@
 	void detectsRestartedEndpoint() {
 		Backend first = started("a", 1_000);
 		this.table.put(first);
-		Truth.assertThat(this.table.startedAgain(first)).isFalse();
+		Truth.assertThat(this.table.hasRestarted(first)).isFalse();
 		this.table.put(started("a", 2_000));
-		Truth.assertThat(this.table.startedAgain(first)).isTrue();
+		Truth.assertThat(this.table.hasRestarted(first)).isTrue();
 		this.table.remove(new EndpointId("a"), false);
-		Truth.assertThat(this.table.startedAgain(first)).isFalse();
+		Truth.assertThat(this.table.hasRestarted(first)).isFalse();
 	}
 
 	private static Backend started(String id, long startMillis) {
@@ -123,7 +123,7 @@
 	}
 
 	private static Backend backend(String id, boolean draining) {
-		return new Backend(EndpointStart.untold(id), SERVICE, HostAndPort.fromParts("10.0.0.1", 80),
+		return new Backend(EndpointStart.withUnknownStart(id), SERVICE, HostAndPort.fromParts("10.0.0.1", 80),
 				new DataCentre("east"), 4, draining);
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/catalog/CatalogTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/catalog/CatalogTests.java
@@ -68,8 +68,8 @@
 			.route(stream("b", otherPause, otherTarget))
 			.route(Route.builder("c", "hire.example", "/c/").service("yard").build())
 			.build();
-		Truth.assertThat(streams.service(new ServiceName("quotes")).orElseThrow().aims())
-			.isEqualTo(new StreamAims(Duration.ofMillis(strictest), Duration.ofMillis(slowest)));
+		Truth.assertThat(streams.service(new ServiceName("quotes")).orElseThrow().streamTargets())
+			.isEqualTo(new StreamTargets(Duration.ofMillis(strictest), Duration.ofMillis(slowest)));
 	}
 
 	private static Route stream(String name, long pause, long target) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/catalog/EngineProfileTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/catalog/EngineProfileTests.java
@@ -14,7 +14,7 @@
 	@ParameterizedTest
 	@CsvSource({ "5000, 34.5", "45000, 456.2", "182000, 3864.9", "900000, 71454.2" })
 	void prefillTimeGrowsFasterThanPromptLength(long tokens, double millis) {
-		Truth.assertThat(this.profile.readMillis(tokens)).isWithin(0.1).of(millis);
+		Truth.assertThat(this.profile.prefillMillis(tokens)).isWithin(0.1).of(millis);
 	}
 
 	@ParameterizedTest
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashRegistryTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashRegistryTests.java
@@ -56,7 +56,7 @@
 	}
 
 	private static EndpointStart endpoint(int number) {
-		return EndpointStart.untold("e" + number);
+		return EndpointStart.withUnknownStart("e" + number);
 	}
 
 }
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/GatewayFleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/GatewayFleet.java
@@ -111,7 +111,7 @@
 		CallerRequest request = new CallerRequest("r" + ++this.requests, "POST", "/log/1", "hire.example", List.of(),
 				text.getBytes(), Optional.of("key"), Optional.of(Duration.ofSeconds(10)), 0, 0, Optional.empty());
 		this.callerSentAt.put(request.id(), this.scheduler.nanos());
-		this.daemons.get(daemon).service.take(request, caller);
+		this.daemons.get(daemon).service.handle(request, caller);
 		return caller;
 	}
 
@@ -297,8 +297,9 @@
 	}
 
 	void startEndpoint() {
-		SimulatedEndpoint endpoint = new SimulatedEndpoint(this, new Backend(EndpointStart.untold("e" + ++this.started),
-				SERVICE, HostAndPort.fromParts("10.0.0." + this.started % 200, 80), DATA_CENTRE, SLOTS, false));
+		SimulatedEndpoint endpoint = new SimulatedEndpoint(this,
+				new Backend(EndpointStart.withUnknownStart("e" + ++this.started), SERVICE,
+						HostAndPort.fromParts("10.0.0." + this.started % 200, 80), DATA_CENTRE, SLOTS, false));
 		this.endpoints.put(endpoint.backend.start(), endpoint);
 		this.daemons.forEach((daemon) -> daemon.putEntry(endpoint));
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SentRequest.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SentRequest.java
@@ -76,7 +76,7 @@
 	}
 
 	@Override
-	public void reading(boolean on) {
+	public void setReading(boolean on) {
 		// Simulated endpoints send whole answers, so there is nothing to pause.
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedCaller.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedCaller.java
@@ -35,19 +35,19 @@
 	}
 
 	@Override
-	public void whole(int status, List<Header> headers, byte[] body) {
+	public void sendResponse(int status, List<Header> headers, byte[] body) {
 		this.response += status;
 	}
 
 	@Override
-	public void own(int status, String reason, Duration pause) {
+	public void sendOwnResponse(int status, String reason, Duration pause) {
 		this.response += "own " + status;
 		this.reason = reason;
 		this.retryAfter = pause;
 	}
 
 	@Override
-	public void begin(int status, List<Header> headers) {
+	public void startStream(int status, List<Header> headers) {
 		throw new UnsupportedOperationException();
 	}
 
@@ -57,12 +57,12 @@
 	}
 
 	@Override
-	public void onReadsAgain(Runnable task) {
+	public void onWritable(Runnable task) {
 		throw new UnsupportedOperationException();
 	}
 
 	@Override
-	public void end() {
+	public void endStream() {
 		throw new UnsupportedOperationException();
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedDaemon.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedDaemon.java
@@ -29,12 +29,12 @@
 import org.bramleyscale.internal.gateway.catalog.Route;
 import org.bramleyscale.internal.gateway.crash.EndpointCheck;
 import org.bramleyscale.internal.gateway.crash.FleetCrashGuard;
-import org.bramleyscale.internal.gateway.follow.NewsRoutes;
+import org.bramleyscale.internal.gateway.follow.UpdateRoutes;
 import org.bramleyscale.internal.gateway.hold.MemoryHolds;
 import org.bramleyscale.internal.gateway.hold.NoOrders;
 import org.bramleyscale.internal.gateway.limit.FleetLimits;
-import org.bramleyscale.internal.gateway.load.DemandBoard;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.load.DemandTracker;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.gateway.placement.PlainPlacement;
 import org.bramleyscale.internal.gateway.request.BackendClient;
@@ -43,7 +43,7 @@
 import org.bramleyscale.internal.gateway.request.GatewayPorts;
 import org.bramleyscale.internal.gateway.request.GatewayService;
 import org.bramleyscale.internal.gateway.request.OutgoingRequest;
-import org.bramleyscale.internal.gateway.retry.RetryWindow;
+import org.bramleyscale.internal.gateway.retry.RetryBudget;
 import org.bramleyscale.internal.peer.PeerListener;
 import org.bramleyscale.internal.peer.PeerMessage;
 import org.bramleyscale.internal.peer.PeerNetwork;
@@ -53,7 +53,7 @@
  * One start of a daemon, which runs the production classes of the gateway on a simulated
  * network. Confined to the test's thread.
  */
-public final class SimulatedDaemon implements PeerNetwork, NewsRoutes, EndpointCheck {
+public final class SimulatedDaemon implements PeerNetwork, UpdateRoutes, EndpointCheck {
 
 	private static final RendezvousHash<VmId> HASH = new RendezvousHash<>(VmId::value);
 
@@ -96,11 +96,11 @@
 		this.backends = new BackendTable(clock, DecisionLog.NONE);
 		this.crashes = new FleetCrashGuard(
 				new FleetCrashGuard.Ports(clock, this, this, this.fleet.store, DecisionLog.NONE, new MetricRegistry()),
-				this, this.backends::offers, () -> index == 0);
+				this, this.backends::acceptsRequests, () -> index == 0);
 		this.limits = new FleetLimits(clock, this, this, this::rank, DecisionLog.NONE, new MetricRegistry());
-		this.backends.onEnd(this.crashes::gone);
+		this.backends.onUnplannedEnd(this.crashes::endpointRemoved);
 		BackendHealth health = new BackendHealth(clock, DecisionLog.NONE);
-		LoadBoard loads = new LoadBoard(clock);
+		LoadTracker loads = new LoadTracker(clock);
 		CatalogHolder catalogs = new CatalogHolder();
 		catalogs.offer(Catalog.builder(1)
 			.account(new Account(new ClientAccountId("hule"), OptionalInt.empty()), List.of("key"))
@@ -115,9 +115,9 @@
 		GatewayPorts ports = new GatewayPorts(clock, GatewayFleet.DATA_CENTRE, this::send,
 				new PlainPlacement(this.backends, health, loads, this.fleet.random),
 				new EndpointNotices(new FleetPresence(clock, this, this, this.backends), health), health, loads,
-				new DemandBoard(clock), new RetryWindow(clock, Duration.ofSeconds(10), 0.2, 100, () -> 1), this.limits,
-				this.crashes, new MemoryHolds(clock, new NoOrders(), this.backends::startedAgain, (engine) -> true,
-						"d" + index, DecisionLog.NONE),
+				new DemandTracker(clock), new RetryBudget(clock, Duration.ofSeconds(10), 0.2, 100, () -> 1),
+				this.limits, this.crashes, new MemoryHolds(clock, new NoOrders(), this.backends::hasRestarted,
+						(engine) -> true, "d" + index, DecisionLog.NONE),
 				() -> {
 				}, DecisionLog.NONE, new GatewayMetrics(new MetricRegistry()));
 		this.service = new GatewayService(ports, catalogs, (left) -> true, this.fleet.random);
@@ -192,7 +192,7 @@
 	}
 
 	@Override
-	public Collection<VmId> firstHand() {
+	public Collection<VmId> originRecipients() {
 		if (this.fleet.fullMesh()) {
 			return connected();
 		}
@@ -200,7 +200,7 @@
 	}
 
 	@Override
-	public Collection<VmId> passedOn(VmId from) {
+	public Collection<VmId> forwardRecipients(VmId from) {
 		if (this.fleet.fullMesh() || !isRelay()) {
 			return List.of();
 		}
@@ -243,7 +243,7 @@
 	 * @return false once it knows that the endpoint is leaving or was removed
 	 */
 	public boolean offers(SimulatedEndpoint endpoint) {
-		return this.backends.offers(endpoint.backend);
+		return this.backends.acceptsRequests(endpoint.backend);
 	}
 
 	void removeEntry(Backend backend) {
