--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedStore.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedStore.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-import org.bramleyscale.internal.gateway.follow.FollowedKind;
-import org.bramleyscale.internal.gateway.follow.FollowedObject;
+import org.bramleyscale.internal.gateway.follow.ObjectCopies;
+import org.bramleyscale.internal.gateway.follow.ObjectCopy;
 import org.bramleyscale.internal.platform.ObjectKey;
 import org.bramleyscale.internal.platform.PartialStore;
 import org.bramleyscale.internal.platform.PlatformException;
@@ -29,7 +29,7 @@
 
 	private final Map<String, StoredObject> records = new TreeMap<>();
 
-	private FollowedKind.Listener follower = (object) -> {
+	private ObjectCopies.Listener follower = (object) -> {
 	};
 
 	private long revision = 1;
@@ -42,7 +42,7 @@
 		this.scheduler = scheduler;
 	}
 
-	void follow(FollowedKind.Listener listener) {
+	void follow(ObjectCopies.Listener listener) {
 		this.follower = listener;
 	}
 
@@ -55,10 +55,10 @@
 		return !this.unavailable && this.scheduler.nanos() - this.availabilityChangedAt > time.toNanos();
 	}
 
-	public List<FollowedObject> all() {
+	public List<ObjectCopy> all() {
 		return this.records.values()
 			.stream()
-			.map((object) -> new FollowedObject(object.key().name(), object.version(), object.value()))
+			.map((object) -> new ObjectCopy(object.key().name(), object.version(), object.value()))
 			.toList();
 	}
 
@@ -67,7 +67,7 @@
 		return answer(key, expected, () -> {
 			StoredObject object = new StoredObject(key, ++this.revision, value);
 			this.records.put(key.name(), object);
-			notifyFollower(new FollowedObject(key.name(), this.revision, value));
+			notifyFollower(new ObjectCopy(key.name(), this.revision, value));
 			return object;
 		});
 	}
@@ -76,12 +76,12 @@
 	public CompletableFuture<Void> delete(ObjectKey key, long expected) {
 		return answer(key, expected, () -> {
 			this.records.remove(key.name());
-			notifyFollower(new FollowedObject(key.name(), ++this.revision, null));
+			notifyFollower(new ObjectCopy(key.name(), ++this.revision, null));
 			return null;
 		});
 	}
 
-	private void notifyFollower(FollowedObject object) {
+	private void notifyFollower(ObjectCopy object) {
 		this.scheduler.schedule(WATCH_LATENCY, () -> this.follower.changed(object));
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/CopyMessageCodecTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/CopyMessageCodecTests.java
@@ -25,36 +25,37 @@
 		SendingTimes toPeer = new SendingTimes(900, new Incarnation(new VmId("10.1.0.26"), 77), 800, 40);
 		SendingTimes broadcast = new SendingTimes(900, null, 0, 0);
 		return Stream.of(toPeer, broadcast)
-			.flatMap((times) -> Stream.of(new CopiesHeld(List.of(new CopiesHeld.Held("config", 7, 9, 120)), times),
-					new CopiesTold("config", 7, 9, 120, 86_400_000, List.of(), times)));
+			.flatMap((times) -> Stream.of(new CopiesDigest(List.of(new CopiesDigest.Held("config", 7, 9, 120)), times),
+					new CopiesUpdate("config", 7, 9, 120, 86_400_000, List.of(), times)));
 	}
 
 	@ParameterizedTest
 	@MethodSource("messages")
 	void messagesAreDecodedAsTheyWereEncoded(PeerMessage message) throws PeerProtocolException {
-		MessageCodec codec = codec(CopiesHeld.class, CopiesTold.class);
+		MessageCodec codec = codec(CopiesDigest.class, CopiesUpdate.class);
 		Truth.assertThat(codec.decode(PEER, codec.encode(message))).hasValue(message);
 	}
 
 	@Test
 	void readsMessagesOfAVersionWithoutTimestamps() throws PeerProtocolException {
 		MessageCodec previous = codec(HeldWithoutTimes.class, ToldWithoutTimes.class);
-		MessageCodec current = codec(CopiesHeld.class, CopiesTold.class);
+		MessageCodec current = codec(CopiesDigest.class, CopiesUpdate.class);
 		Truth.assertThat(current.decode(PEER, previous.encode(new HeldWithoutTimes(List.of()))))
-			.hasValue(new CopiesHeld(List.of(), null));
+			.hasValue(new CopiesDigest(List.of(), null));
 		Truth.assertThat(current.decode(PEER, previous.encode(new ToldWithoutTimes("config", 7, 9, 120, 5, List.of()))))
-			.hasValue(new CopiesTold("config", 7, 9, 120, 5, List.of(), null));
+			.hasValue(new CopiesUpdate("config", 7, 9, 120, 5, List.of(), null));
 	}
 
 	@Test
 	void messagesAreReadByAVersionWithoutTimestamps() throws PeerProtocolException {
 		MessageCodec previous = codec(HeldWithoutTimes.class, ToldWithoutTimes.class);
-		MessageCodec current = codec(CopiesHeld.class, CopiesTold.class);
+		MessageCodec current = codec(CopiesDigest.class, CopiesUpdate.class);
 		SendingTimes times = new SendingTimes(900, null, 0, 0);
-		Truth.assertThat(previous.decode(PEER, current.encode(new CopiesHeld(List.of(), times))))
+		Truth.assertThat(previous.decode(PEER, current.encode(new CopiesDigest(List.of(), times))))
 			.hasValue(new HeldWithoutTimes(List.of()));
 		Truth
-			.assertThat(previous.decode(PEER, current.encode(new CopiesTold("config", 7, 9, 120, 5, List.of(), times))))
+			.assertThat(
+					previous.decode(PEER, current.encode(new CopiesUpdate("config", 7, 9, 120, 5, List.of(), times))))
 			.hasValue(new ToldWithoutTimes("config", 7, 9, 120, 5, List.of()));
 	}
 
@@ -62,11 +63,11 @@
 		return new MessageCodec(MessageCatalog.builder().add(101, held).add(102, told).build());
 	}
 
-	private record HeldWithoutTimes(List<CopiesHeld.Held> kinds) implements PeerMessage {
+	private record HeldWithoutTimes(List<CopiesDigest.Held> kinds) implements PeerMessage {
 	}
 
 	private record ToldWithoutTimes(String kind, long from, long to, long ageMillis, long outageMillis,
-			List<FollowedObject> objects) implements PeerMessage {
+			List<ObjectCopy> objects) implements PeerMessage {
 	}
 
 }
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/PeerCopiesTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/PeerCopiesTests.java
@@ -32,10 +32,10 @@
 
 	private final List<String> changes = new ArrayList<>();
 
-	private final FollowedKind current = new FollowedKind((object) -> {
+	private final ObjectCopies current = new ObjectCopies((object) -> {
 	});
 
-	private final FollowedKind outdated = new FollowedKind(
+	private final ObjectCopies outdated = new ObjectCopies(
 			(object) -> this.changes.add((object.deleted() ? "-" : "+") + object.name()));
 
 	PeerCopiesTests() {
@@ -76,9 +76,9 @@
 		this.left.sent.clear();
 		this.right.sent.clear();
 		this.scheduler.advance(Duration.ofSeconds(5));
-		Truth.assertThat(this.left.sent.get(CopiesHeld.class)).isAtLeast(12);
-		Truth.assertThat(this.left.sent.get(CopiesTold.class)).isNull();
-		Truth.assertThat(this.right.sent.get(CopiesTold.class)).isNull();
+		Truth.assertThat(this.left.sent.get(CopiesDigest.class)).isAtLeast(12);
+		Truth.assertThat(this.left.sent.get(CopiesUpdate.class)).isNull();
+		Truth.assertThat(this.right.sent.get(CopiesUpdate.class)).isNull();
 	}
 
 	private static WatchBatch batch(long revision, String... names) {
@@ -89,7 +89,7 @@
 	/**
 	 * One end of a connection that delivers at once.
 	 */
-	private final class Connection implements PeerNetwork, NewsRoutes {
+	private final class Connection implements PeerNetwork, UpdateRoutes {
 
 		private final Incarnation self;
 
@@ -119,12 +119,12 @@
 		}
 
 		@Override
-		public Collection<VmId> firstHand() {
+		public Collection<VmId> originRecipients() {
 			return connected();
 		}
 
 		@Override
-		public Collection<VmId> passedOn(VmId from) {
+		public Collection<VmId> forwardRecipients(VmId from) {
 			return List.of();
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedFleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedFleet.java
@@ -170,7 +170,7 @@
 	/**
 	 * One daemon and its side of the connections to its peers.
 	 */
-	final class Daemon implements PeerNetwork, NewsRoutes, FollowOrder {
+	final class Daemon implements PeerNetwork, UpdateRoutes, FollowOrder {
 
 		/** The transmission time of a message between two daemons on an idle link. */
 		private static final Duration LINK_DELAY = Duration.ofMillis(1);
@@ -181,7 +181,7 @@
 
 		private final Map<Class<?>, PeerListener<?>> listeners = new HashMap<>();
 
-		private final FollowedKind copies = new FollowedKind((object) -> {
+		private final ObjectCopies copies = new ObjectCopies((object) -> {
 		});
 
 		private final PausableScheduler clock = new PausableScheduler(SimulatedFleet.this.scheduler);
@@ -276,7 +276,7 @@
 
 		@Override
 		public boolean send(VmId to, PeerMessage message) {
-			if (message instanceof CopiesTold update && !update.objects().isEmpty()) {
+			if (message instanceof CopiesUpdate update && !update.objects().isEmpty()) {
 				if (SimulatedFleet.this.tooLarge) {
 					return false;
 				}
@@ -309,12 +309,12 @@
 		}
 
 		@Override
-		public Collection<VmId> firstHand() {
+		public Collection<VmId> originRecipients() {
 			return vms(SimulatedFleet.this.topology.firstHand(this.rank));
 		}
 
 		@Override
-		public Collection<VmId> passedOn(VmId from) {
+		public Collection<VmId> forwardRecipients(VmId from) {
 			return vms(SimulatedFleet.this.topology.passedOn(this.rank, Integer.parseInt(from.value().substring(1))));
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SlowLinkTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SlowLinkTests.java
@@ -16,8 +16,8 @@
 import org.bramleyscale.Incarnation;
 import org.bramleyscale.VmId;
 import org.bramleyscale.internal.gateway.load.LoadExchange;
-import org.bramleyscale.internal.gateway.load.LoadSummed;
-import org.bramleyscale.internal.gateway.load.LoadTold;
+import org.bramleyscale.internal.gateway.load.LoadSummary;
+import org.bramleyscale.internal.gateway.load.LoadUpdate;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.peer.MessageCatalog;
 import org.bramleyscale.internal.peer.MessageCodec;
@@ -96,12 +96,12 @@
 	 * congested.
 	 */
 	private void sendSums() {
-		List<LoadTold.Share> shares = new ArrayList<>();
+		List<LoadUpdate.Share> shares = new ArrayList<>();
 		for (int i = 0; i < 72; i++) {
-			shares.add(
-					new LoadTold.Share("i-" + i + "@" + this.random.nextInt(1_000_000), 3, 20, 15_000, 10, 30, 0, 250));
+			shares.add(new LoadUpdate.Share("i-" + i + "@" + this.random.nextInt(1_000_000), 3, 20, 15_000, 10, 30, 0,
+					250));
 		}
-		LoadSummed sum = new LoadSummed(true, true, shares, List.of(), Map.of(), Set.of());
+		LoadSummary sum = new LoadSummary(true, true, shares, List.of(), Map.of(), Set.of());
 		this.relay.sendAll(this.daemons.keySet().stream().filter((vm) -> !this.relay.congested(vm)).toList(), sum);
 	}
 
@@ -130,7 +130,7 @@
 	 * A daemon whose connections share one link that transmits in the order of sending.
 	 * Used by one thread.
 	 */
-	private final class Daemon implements PeerNetwork, NewsRoutes {
+	private final class Daemon implements PeerNetwork, UpdateRoutes {
 
 		private final Incarnation self;
 
@@ -140,7 +140,7 @@
 
 		private final Map<VmId, Long> queued = new HashMap<>();
 
-		private final FollowedKind kind = new FollowedKind(
+		private final ObjectCopies kind = new ObjectCopies(
 				(object) -> this.inForceAt.put(object.revision(), SlowLinkTests.this.scheduler.nanos()));
 
 		private final PeerCopies copies;
@@ -152,7 +152,7 @@
 			this.kind.applyList(new WatchBatch(0, false, List.of()));
 			this.copies = new PeerCopies(this.self, SlowLinkTests.this.scheduler, this, Map.of(KIND, this.kind), this,
 					DecisionLog.NONE);
-			listen(LoadSummed.class, (from, message) -> {
+			listen(LoadSummary.class, (from, message) -> {
 			});
 		}
 
@@ -180,7 +180,7 @@
 
 		@Override
 		public Set<VmId> connected() {
-			return Set.copyOf(firstHand());
+			return Set.copyOf(originRecipients());
 		}
 
 		@Override
@@ -189,14 +189,14 @@
 		}
 
 		@Override
-		public Collection<VmId> firstHand() {
+		public Collection<VmId> originRecipients() {
 			boolean isRelay = this == SlowLinkTests.this.relay;
 			return isRelay ? SlowLinkTests.this.daemons.keySet().stream().collect(Collectors.toSet())
 					: Set.of(SlowLinkTests.this.relay.self.vm());
 		}
 
 		@Override
-		public Collection<VmId> passedOn(VmId from) {
+		public Collection<VmId> forwardRecipients(VmId from) {
 			return List.of();
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/StoreFollowerTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/StoreFollowerTests.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests of {@link StoreFollower} and {@link FollowedKind}.
+ * Tests of {@link StoreFollower} and {@link ObjectCopies}.
  */
 class StoreFollowerTests {
 
@@ -28,7 +28,7 @@
 
 	private final List<String> changes = new ArrayList<>();
 
-	private final FollowedKind copies = new FollowedKind(
+	private final ObjectCopies copies = new ObjectCopies(
 			(object) -> this.changes.add((object.deleted() ? "-" : "+") + object.name() + object.revision()));
 
 	private static final FollowTimes TIMES = FollowTimes.within(Duration.ofSeconds(2));
@@ -142,7 +142,7 @@
 		// the connection to the store goes silent, the store changes, a peer sends the
 		// change. Cause: the silent connection never reports an error.
 		Truth.assertThat(this.store.watches).hasSize(1);
-		this.copies.applyFromPeer(5, 12, List.of(new FollowedObject("c", 12, new byte[1])));
+		this.copies.applyFromPeer(5, 12, List.of(new ObjectCopy("c", 12, new byte[1])));
 		this.scheduler.advance(StoreFollower.STALLED_AFTER.plus(StoreFollower.TICK.multipliedBy(2)));
 		Truth.assertThat(this.store.watches).hasSize(2);
 		Truth.assertThat(this.store.watchedFrom).isEqualTo(12);
@@ -172,7 +172,7 @@
 		// Symptom: a deleted entry appears again. Sequence: a peer sends the changes up
 		// to revision 30, then a list requested earlier arrives. Cause: lists and
 		// messages of peers overtake each other.
-		this.copies.applyFromPeer(5, 30, List.of(new FollowedObject("a", 30, null)));
+		this.copies.applyFromPeer(5, 30, List.of(new ObjectCopy("a", 30, null)));
 		this.copies.applyList(new WatchBatch(20, false, List.of(FakeStore.object("a", 3))));
 		Truth.assertThat(this.changes).containsExactly("+a3", "+b5", "-a30").inOrder();
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/hold/MemoryHoldsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/hold/MemoryHoldsTests.java
@@ -108,7 +108,7 @@
 	private MemoryHolds.Group reserve(String... names) {
 		List<MemoryHold> requested = new ArrayList<>();
 		for (String name : names) {
-			requested.add(new MemoryHold(new Backend(EndpointStart.untold(name), new ServiceName("quotes"),
+			requested.add(new MemoryHold(new Backend(EndpointStart.withUnknownStart(name), new ServiceName("quotes"),
 					HostAndPort.fromParts("10.0.0.1", 80), new DataCentre("east"), 4, false), 1_000));
 		}
 		MemoryHolds.Group group = this.holds.reserve(requested, "r1", this.outcomes::add);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/BackendConnectionsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/BackendConnectionPoolTests.java
@@ -27,10 +27,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Contract tests of {@link BackendConnections} over real sockets.
+ * Contract tests of {@link BackendConnectionPool} over real sockets.
  */
 @Timeout(30)
-class BackendConnectionsTests {
+class BackendConnectionPoolTests {
 
 	private static final String OK = "HTTP/1.1 200 OK\r\nId: r1\r\nSignature: s\r\n";
 
@@ -38,7 +38,7 @@
 
 	private final NettyLoop loop = new NettyLoop("test");
 
-	private final BackendConnections connections = new BackendConnections(this.loop, new PlainDialect());
+	private final BackendConnectionPool connections = new BackendConnectionPool(this.loop, new PlainDialect());
 
 	@AfterEach
 	void close() {
@@ -129,7 +129,7 @@
 	}
 
 	private String send(ScriptedServer server, String id, boolean fresh) throws Exception {
-		return send(server, EndpointStart.untold("e1"), id, fresh);
+		return send(server, EndpointStart.withUnknownStart("e1"), id, fresh);
 	}
 
 	private String send(ScriptedServer server, EndpointStart start, String id, boolean fresh) throws Exception {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/CallerServerTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/CallerServerTests.java
@@ -27,14 +27,14 @@
 import org.bramleyscale.internal.gateway.crash.CrashGuard;
 import org.bramleyscale.internal.gateway.hold.MemoryHolds;
 import org.bramleyscale.internal.gateway.limit.EndpointLimits;
-import org.bramleyscale.internal.gateway.load.DemandBoard;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.load.DemandTracker;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.gateway.placement.PlainPlacement;
 import org.bramleyscale.internal.gateway.request.GatewayMetrics;
 import org.bramleyscale.internal.gateway.request.GatewayPorts;
 import org.bramleyscale.internal.gateway.request.GatewayService;
-import org.bramleyscale.internal.gateway.retry.RetryWindow;
+import org.bramleyscale.internal.gateway.retry.RetryBudget;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -65,19 +65,19 @@
 		this.endpoint = new ScriptedServer(
 				java.util.List.of("HTTP/1.1 200 OK\r\nSignature: s\r\nContent-Length: 2\r\n\r\naa"));
 		BackendTable backends = new BackendTable(this.loop, DecisionLog.NONE);
-		backends.put(new Backend(EndpointStart.untold("e1"), new ServiceName("yard"),
+		backends.put(new Backend(EndpointStart.withUnknownStart("e1"), new ServiceName("yard"),
 				HostAndPort.fromParts("127.0.0.1", this.endpoint.port()), new DataCentre("east"), 4, false));
 		BackendHealth health = new BackendHealth(this.loop, DecisionLog.NONE);
-		LoadBoard loads = new LoadBoard(this.loop);
+		LoadTracker loads = new LoadTracker(this.loop);
 		CatalogHolder catalogs = new CatalogHolder();
 		catalogs.offer(Catalog.builder(1)
 			.route(Route.builder("log", "hire.example", "/log/").service("yard").build())
 			.build());
 		GatewayPorts ports = new GatewayPorts(this.loop, new DataCentre("east"),
-				new BackendConnections(this.loop, new PlainDialect()),
+				new BackendConnectionPool(this.loop, new PlainDialect()),
 				new PlainPlacement(backends, health, loads, new Random(1)), new EndpointNotices(backends, health),
-				health, loads, new DemandBoard(this.loop),
-				new RetryWindow(this.loop, Duration.ofSeconds(10), 0.2, 100, () -> 1), EndpointLimits.NONE,
+				health, loads, new DemandTracker(this.loop),
+				new RetryBudget(this.loop, Duration.ofSeconds(10), 0.2, 100, () -> 1), EndpointLimits.NONE,
 				CrashGuard.NONE,
 				new MemoryHolds(this.loop, null, (engine) -> false, (engine) -> true, "test", DecisionLog.NONE), () -> {
 				}, DecisionLog.NONE, new GatewayMetrics(new MetricRegistry()));
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/PlainDialect.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/http/PlainDialect.java
@@ -20,30 +20,30 @@
 final class PlainDialect implements WireDialect {
 
 	@Override
-	public CallerRequest request(HttpRequest head, byte[] body) throws BadRequestException {
+	public CallerRequest readRequest(HttpRequest head, byte[] body) throws BadRequestException {
 		if (head.headers().contains("Bad")) {
 			throw new BadRequestException("Bad must not be given");
 		}
 		return new CallerRequest(head.headers().get("Id", ""), head.method().name(), head.uri(),
-				head.headers().get(HttpHeaderNames.HOST, ""), PassedHeaders.of(head.headers(), Set.of("key")), body,
+				head.headers().get(HttpHeaderNames.HOST, ""), EndToEndHeaders.of(head.headers(), Set.of("key")), body,
 				Optional.empty(), Optional.of(Duration.ofSeconds(5)), 0, 0, Optional.empty());
 	}
 
 	@Override
-	public void write(Backend to, OutgoingRequest request, HttpHeaders headers) {
+	public void writeRequestHeaders(Backend to, OutgoingRequest request, HttpHeaders headers) {
 		request.original().headers().forEach((header) -> headers.add(header.name(), header.value()));
 		headers.set("Expect-Endpoint", to.id().value());
 	}
 
 	@Override
-	public boolean belongs(HttpResponse response, CallerRequest request) {
+	public boolean matches(HttpResponse response, CallerRequest request) {
 		String id = response.headers().get("Id");
 		return id == null || id.equals(request.id());
 	}
 
 	@Override
-	public BackendHead answer(HttpResponse response) {
-		return new BackendHead(response.status().code(), PassedHeaders.of(response.headers(), Set.of()),
+	public BackendHead readResponseHead(HttpResponse response) {
+		return new BackendHead(response.status().code(), EndToEndHeaders.of(response.headers(), Set.of()),
 				response.headers().contains("Not-Run"), response.headers().contains("Signature"),
 				response.headers().get(HttpHeaderNames.CONTENT_TYPE, "").startsWith("text/event-stream"),
 				EndpointNotice.NONE, Optional.empty());
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/LoadExchangeTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/LoadExchangeTests.java
@@ -30,7 +30,7 @@
  */
 class LoadExchangeTests {
 
-	private static final EndpointStart ENGINE = EndpointStart.untold("e1");
+	private static final EndpointStart ENGINE = EndpointStart.withUnknownStart("e1");
 
 	private static final ServiceName SERVICE = new ServiceName("quotes");
 
@@ -83,7 +83,7 @@
 		Daemon sender = this.fleet.get(new VmId("dc1-3"));
 		for (int i = 0; i < 30; i++) {
 			sender.loads.begin(ENGINE, 0, 100, true, 250);
-			sender.exchange.tell();
+			sender.exchange.sendUpdate();
 			this.scheduler.advance(Duration.ofMillis(37));
 			Truth.assertThat(sender.loads.load(ENGINE).active()).isEqualTo(i + 1);
 		}
@@ -96,12 +96,12 @@
 		// since updates and sums that wait for the next interval take 0.25 s in all.
 		start(flat, 4);
 		this.scheduler.advance(Duration.ofMillis(777));
-		LoadBoard.Work work = this.fleet.get(new VmId("dc1-3")).loads.begin(ENGINE, 120, 100, true, 250);
+		LoadTracker.Work work = this.fleet.get(new VmId("dc1-3")).loads.begin(ENGINE, 120, 100, true, 250);
 		this.scheduler.advance(Duration.ofMillis(millis));
 		others("dc1-3").forEach((daemon) -> Truth.assertThat(daemon.loads.load(ENGINE).active()).isEqualTo(1));
 		work.prefillDone();
 		this.scheduler.advance(Duration.ofMillis(millis));
-		others("dc1-3").forEach((daemon) -> Truth.assertThat(daemon.loads.load(ENGINE).readMillis()).isEqualTo(0));
+		others("dc1-3").forEach((daemon) -> Truth.assertThat(daemon.loads.load(ENGINE).prefillMillis()).isEqualTo(0));
 		work.end();
 		this.scheduler.advance(Duration.ofMillis(millis));
 		others("dc1-3").forEach((daemon) -> Truth.assertThat(daemon.loads.load(ENGINE)).isEqualTo(EndpointLoad.IDLE));
@@ -114,7 +114,7 @@
 		// 200 ms later.
 		start(false, 4);
 		this.scheduler.advance(Duration.ofMillis(777));
-		LoadBoard.Work work = this.fleet.get(new VmId("dc1-1")).loads.begin(ENGINE, 120, 100, true, 250);
+		LoadTracker.Work work = this.fleet.get(new VmId("dc1-1")).loads.begin(ENGINE, 120, 100, true, 250);
 		this.scheduler.advance(Duration.ofMillis(25));
 		relays().forEach((daemon) -> Truth.assertThat(daemon.loads.load(ENGINE).active()).isEqualTo(1));
 		work.end();
@@ -132,13 +132,13 @@
 		this.scheduler.advance(Duration.ofMillis(900));
 		VmId frozen = new VmId("dc1-1");
 		LoadExchange observerExchange = this.fleet.get(new VmId(observer)).exchange;
-		Truth.assertThat(observerExchange.unheard(frozen)).isFalse();
+		Truth.assertThat(observerExchange.isUnresponsive(frozen)).isFalse();
 		this.fleet.get(frozen).alive = false;
 		this.scheduler.advance(Duration.ofMillis(1_300));
-		Truth.assertThat(observerExchange.unheard(frozen)).isTrue();
+		Truth.assertThat(observerExchange.isUnresponsive(frozen)).isTrue();
 		this.fleet.get(frozen).alive = true;
 		this.scheduler.advance(Duration.ofMillis(600));
-		Truth.assertThat(observerExchange.unheard(frozen)).isFalse();
+		Truth.assertThat(observerExchange.isUnresponsive(frozen)).isFalse();
 	}
 
 	private List<Daemon> relays() {
@@ -190,7 +190,7 @@
 	/**
 	 * A daemon with its load and demand boards, connected to the others in memory.
 	 */
-	private final class Daemon implements PeerNetwork, LoadRoutes {
+	private final class Daemon implements PeerNetwork, LoadTopology {
 
 		private final VmId vm;
 
@@ -200,9 +200,9 @@
 
 		private final Map<Class<?>, PeerListener<?>> listeners = new HashMap<>();
 
-		private final LoadBoard loads = new LoadBoard(LoadExchangeTests.this.scheduler);
+		private final LoadTracker loads = new LoadTracker(LoadExchangeTests.this.scheduler);
 
-		private final DemandBoard demands = new DemandBoard(LoadExchangeTests.this.scheduler);
+		private final DemandTracker demands = new DemandTracker(LoadExchangeTests.this.scheduler);
 
 		private final LoadExchange exchange;
 
@@ -259,7 +259,7 @@
 		}
 
 		@Override
-		public Collection<VmId> near() {
+		public Collection<VmId> members() {
 			return others(true, false);
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/UnresponsivePeersTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/UnresponsivePeersTests.java
@@ -42,7 +42,7 @@
 		this.unresponsivePeers.restartTimeoutsAfterPause();
 		Truth.assertThat(this.unresponsivePeers.isUnresponsive(PEER)).isFalse();
 		for (int i = 0; i < 4; i++) {
-			this.scheduler.advance(LoadExchange.PAUSE);
+			this.scheduler.advance(LoadExchange.UPDATE_INTERVAL);
 			this.unresponsivePeers.restartTimeoutsAfterPause();
 		}
 		Truth.assertThat(this.unresponsivePeers.isUnresponsive(PEER)).isTrue();
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/log/JsonLinesTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/log/JsonDecisionLogTests.java
@@ -14,16 +14,16 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Tests of {@link JsonLines}.
+ * Tests of {@link JsonDecisionLog}.
  */
-class JsonLinesTests {
+class JsonDecisionLogTests {
 
 	private static final int LINES = 5_000;
 
 	@Test
 	void writesOneObjectForEachLine() throws Exception {
 		ByteArrayOutputStream output = new ByteArrayOutputStream();
-		JsonLines lines = new JsonLines(output, "entry-1", () -> Instant.EPOCH);
+		JsonDecisionLog lines = new JsonDecisionLog(output, "entry-1", () -> Instant.EPOCH);
 		lines.request("r1", "refused", "reason", "a \"quote\" and\na line", "status", 503, "more", null);
 		lines.close();
 		JsonNode line = new ObjectMapper().readTree(output.toString(StandardCharsets.UTF_8));
@@ -42,7 +42,8 @@
 		// thread.
 		CountDownLatch unblocked = new CountDownLatch(1);
 		ByteArrayOutputStream written = new ByteArrayOutputStream();
-		JsonLines lines = new JsonLines(new BlockedOutput(unblocked, written), "entry-1", () -> Instant.EPOCH);
+		JsonDecisionLog lines = new JsonDecisionLog(new BlockedOutput(unblocked, written), "entry-1",
+				() -> Instant.EPOCH);
 		for (int i = 0; i < LINES; i++) {
 			lines.request("r" + i, "sent");
 		}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/BackendEntriesTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/BackendEntriesTests.java
@@ -14,9 +14,9 @@
 import org.bramleyscale.internal.gateway.backend.BackendTable;
 import org.bramleyscale.internal.gateway.backend.EndpointStart;
 import org.bramleyscale.internal.gateway.catalog.Catalog;
-import org.bramleyscale.internal.gateway.follow.FollowedObject;
+import org.bramleyscale.internal.gateway.follow.ObjectCopy;
 import org.bramleyscale.internal.gateway.load.EndpointLoad;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.time.ManualScheduler;
 import org.junit.jupiter.api.Test;
@@ -39,7 +39,7 @@
 
 	private final BackendHealth health = new BackendHealth(this.scheduler, DecisionLog.NONE);
 
-	private final LoadBoard loads = new LoadBoard(this.scheduler);
+	private final LoadTracker loads = new LoadTracker(this.scheduler);
 
 	private final BackendEntries entries = new BackendEntries(new NumberDocuments(), this.backends, this.health,
 			this.loads, () -> true, (kind, subject, fields) -> this.lines.add(List.of(fields).toString()));
@@ -100,7 +100,7 @@
 	@Test
 	void deletionOfAnEntryThatWasNeverReadableHasNoEffect() {
 		put("a", "x");
-		this.entries.changed(new FollowedObject("a", ++this.revision, null));
+		this.entries.changed(new ObjectCopy("a", ++this.revision, null));
 		Truth.assertThat(ids()).isEmpty();
 	}
 
@@ -109,7 +109,7 @@
 	}
 
 	private void put(String name, String text) {
-		this.entries.changed(new FollowedObject(name, ++this.revision, text.getBytes(StandardCharsets.UTF_8)));
+		this.entries.changed(new ObjectCopy(name, ++this.revision, text.getBytes(StandardCharsets.UTF_8)));
 	}
 
 	/**
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/placement/EnginePlacementTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/placement/EnginePlacementTests.java
@@ -19,12 +19,12 @@
 import org.bramleyscale.internal.gateway.catalog.EngineProfile;
 import org.bramleyscale.internal.gateway.catalog.Route;
 import org.bramleyscale.internal.gateway.catalog.Service;
-import org.bramleyscale.internal.gateway.catalog.StreamAims;
+import org.bramleyscale.internal.gateway.catalog.StreamTargets;
 import org.bramleyscale.internal.gateway.hold.MemoryHold;
 import org.bramleyscale.internal.gateway.limit.EndpointLimits;
-import org.bramleyscale.internal.gateway.load.DemandBoard;
+import org.bramleyscale.internal.gateway.load.DemandTracker;
 import org.bramleyscale.internal.gateway.load.EndpointLoad;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.time.ManualScheduler;
 import org.junit.jupiter.api.Test;
@@ -42,7 +42,7 @@
 			0.162);
 
 	private static final Service SERVICE = new Service(NAME, 364, Optional.of(PROFILE),
-			new StreamAims(Duration.ofMillis(250), Duration.ofSeconds(3)));
+			new StreamTargets(Duration.ofMillis(250), Duration.ofSeconds(3)));
 
 	/**
 	 * 0.55 of the time that a permitted pause of 250 ms leaves beside a pass of 45 ms.
@@ -55,12 +55,12 @@
 
 	private final BackendHealth health = new BackendHealth(this.scheduler, DecisionLog.NONE);
 
-	private final LoadBoard loads = new LoadBoard(this.scheduler);
+	private final LoadTracker loads = new LoadTracker(this.scheduler);
 
 	/** Engines whose rate limit is exhausted for this daemon. */
 	private final Set<EndpointStart> closed = new HashSet<>();
 
-	private final DemandBoard demands = new DemandBoard(this.scheduler);
+	private final DemandTracker demands = new DemandTracker(this.scheduler);
 
 	private final EnginePlacement placement = new EnginePlacement(this.backends, this.health, this.loads, this.demands,
 			new Random(1));
@@ -78,7 +78,7 @@
 		shortRequests(130);
 		Placement placed = place(tokens);
 		Truth.assertThat(placed.helpers()).hasSize(engineCount - 1);
-		Truth.assertThat(placed.readMillis()).isAtMost(LONGEST_PART_MILLIS);
+		Truth.assertThat(placed.prefillMillis()).isAtMost(LONGEST_PART_MILLIS);
 	}
 
 	@Test
@@ -100,7 +100,7 @@
 			Placement placed = place(5_000);
 			Backend target = placed.target().orElseThrow();
 			Truth.assertThat(target.id().value()).isLessThan(id(5).id().value());
-			this.loads.begin(target.start(), placed.readMillis(), 6_000, true, 250);
+			this.loads.begin(target.start(), placed.prefillMillis(), 6_000, true, 250);
 		}
 		Truth.assertThat(place(5_000).reason()).isEqualTo("short");
 	}
@@ -113,7 +113,7 @@
 	@CsvSource({ "5000", "45000", "182000", "700000" })
 	void enginesInBackoffAreNotUsed(long tokens) {
 		Set<EndpointStart> resting = Set.of(id(0), id(1), id(18), id(20));
-		resting.forEach((engine) -> this.health.asksForRest(engine, Duration.ofSeconds(3)));
+		resting.forEach((engine) -> this.health.backoffRequested(engine, Duration.ofSeconds(3)));
 		for (int i = 0; i < 20; i++) {
 			Placement placed = place(tokens);
 			Set<EndpointStart> used = new HashSet<>();
@@ -129,7 +129,7 @@
 	@Test
 	void retryDelayIsTheShortestBackoffIfAllEnginesBackOff() {
 		for (int i = 0; i < 21; i++) {
-			this.health.asksForRest(id(i), Duration.ofSeconds(20 - i / 2));
+			this.health.backoffRequested(id(i), Duration.ofSeconds(20 - i / 2));
 		}
 		Placement placed = place(5_000);
 		Truth.assertThat(placed.target()).isEqualTo(Optional.empty());
@@ -147,7 +147,7 @@
 		for (int i = 0; i < 30; i++) {
 			Placement placed = place(5_000);
 			used.add(placed.target().orElseThrow().start());
-			this.loads.begin(placed.target().get().start(), placed.readMillis(), 6_000, true, 250);
+			this.loads.begin(placed.target().get().start(), placed.prefillMillis(), 6_000, true, 250);
 		}
 		Truth.assertThat(used).containsExactly(id(3), id(4), id(5), id(6));
 		Truth.assertThat(place(182_000).target().orElseThrow().start()).isNotIn(this.closed);
@@ -226,7 +226,7 @@
 		Placement placed = place(tokens);
 		Truth.assertThat(placed.waits()).isEqualTo(waits);
 		if (!waits) {
-			Truth.assertThat(placed.readMillis()).isAtMost(pause);
+			Truth.assertThat(placed.prefillMillis()).isAtMost(pause);
 		}
 	}
 
@@ -327,14 +327,14 @@
 			.service(NAME.value())
 			.streaming(true)
 			.targetLatency(Duration.ofSeconds(3))
-			.patience(Duration.ofSeconds((tokens > 100_000) ? 12 : 2))
+			.callerTimeout(Duration.ofSeconds((tokens > 100_000) ? 12 : 2))
 			.build();
 		return new PlacementRequest(route, SERVICE, tokens, 1_200, Duration.ofSeconds((tokens < 20_000) ? 2 : 12),
 				waited, tried, new Limits(), new DataCentre("east"));
 	}
 
 	private static EndpointStart id(int index) {
-		return EndpointStart.untold("engine-" + (char) ('a' + index));
+		return EndpointStart.withUnknownStart("engine-" + (char) ('a' + index));
 	}
 
 	/**
@@ -348,7 +348,7 @@
 		}
 
 		@Override
-		public boolean open(EndpointStart endpoint) {
+		public boolean permits(EndpointStart endpoint) {
 			return !limited(endpoint);
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/placement/PrefillEngineSelectorTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/placement/PrefillEngineSelectorTests.java
@@ -75,7 +75,7 @@
 
 	private void add(int count, int pause, double backlogMillis, long tokens) {
 		for (int i = 0; i < count; i++) {
-			Backend backend = new Backend(EndpointStart.untold("engine-" + this.engines.size()),
+			Backend backend = new Backend(EndpointStart.withUnknownStart("engine-" + this.engines.size()),
 					new ServiceName("quotes"), HostAndPort.fromParts("10.0.0.1", 80), new DataCentre("east"), 10,
 					false);
 			this.engines
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayFixture.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayFixture.java
@@ -33,14 +33,14 @@
 import org.bramleyscale.internal.gateway.hold.MemoryHolds;
 import org.bramleyscale.internal.gateway.hold.PendingOrders;
 import org.bramleyscale.internal.gateway.limit.EndpointLimits;
-import org.bramleyscale.internal.gateway.load.DemandBoard;
-import org.bramleyscale.internal.gateway.load.LoadBoard;
+import org.bramleyscale.internal.gateway.load.DemandTracker;
+import org.bramleyscale.internal.gateway.load.LoadTracker;
 import org.bramleyscale.internal.gateway.log.DecisionLog;
 import org.bramleyscale.internal.gateway.placement.Placement;
 import org.bramleyscale.internal.gateway.placement.PlacementPolicy;
 import org.bramleyscale.internal.gateway.placement.PlacementRequest;
 import org.bramleyscale.internal.gateway.placement.PlainPlacement;
-import org.bramleyscale.internal.gateway.retry.RetryWindow;
+import org.bramleyscale.internal.gateway.retry.RetryBudget;
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
@@ -62,9 +62,9 @@
 
 	final BackendHealth health = new BackendHealth(this.scheduler, DecisionLog.NONE);
 
-	final LoadBoard loads = new LoadBoard(this.scheduler);
+	final LoadTracker loads = new LoadTracker(this.scheduler);
 
-	final DemandBoard demands = new DemandBoard(this.scheduler);
+	final DemandTracker demands = new DemandTracker(this.scheduler);
 
 	/** Placements that the next requests get instead of one from the plain policy. */
 	final Deque<Placement> scriptedPlacements = new ArrayDeque<>();
@@ -83,16 +83,16 @@
 
 	RelayFixture() {
 		for (String id : List.of("a", "b", "c")) {
-			this.backends.put(new Backend(EndpointStart.untold(id), SERVICE, HostAndPort.fromParts("10.0.0.1", 80),
-					new DataCentre("east"), 4, false));
+			this.backends.put(new Backend(EndpointStart.withUnknownStart(id), SERVICE,
+					HostAndPort.fromParts("10.0.0.1", 80), new DataCentre("east"), 4, false));
 		}
 		Random random = new Random(1);
 		GatewayPorts ports = new GatewayPorts(this.scheduler, new DataCentre("east"), this::send,
 				scriptedOr(new PlainPlacement(this.backends, this.health, this.loads, random)),
 				new EndpointNotices(this.backends, this.health), this.health, this.loads, this.demands,
-				new RetryWindow(this.scheduler, Duration.ofSeconds(10), 0, RETRY_CONSTANT, () -> 1),
+				new RetryBudget(this.scheduler, Duration.ofSeconds(10), 0, RETRY_CONSTANT, () -> 1),
 				EndpointLimits.NONE, this.crashGuard, new MemoryHolds(this.scheduler, this.orders,
-						this.backends::startedAgain, (engine) -> true, "entry-1", DecisionLog.NONE),
+						this.backends::hasRestarted, (engine) -> true, "entry-1", DecisionLog.NONE),
 				() -> {
 				}, DecisionLog.NONE, new GatewayMetrics(new MetricRegistry()));
 		this.service = new GatewayService(ports, this.catalogs, (timeLeft) -> timeLeft.compareTo(this.maxTimeLeft) <= 0,
@@ -103,9 +103,9 @@
 				.resumable(true)
 				.maxAttempts(2)
 				.longestPause(Duration.ofMillis(250))
-				.patience(Duration.ofSeconds(2))
+				.callerTimeout(Duration.ofSeconds(2))
 				.build())
-			.route(route("any-pause", "/any-pause/").streaming(true).patience(Duration.ofSeconds(2)).build())
+			.route(route("any-pause", "/any-pause/").streaming(true).callerTimeout(Duration.ofSeconds(2)).build())
 			.route(route("book", "/book/").build())
 			.route(route("log", "/log/").idempotent(true).maxAttempts(2).build())
 			.build());
@@ -134,7 +134,7 @@
 		RecordingCaller caller = new RecordingCaller();
 		CallerRequest request = new CallerRequest("r1", "POST", path, "hire.example", List.of(), new byte[0],
 				Optional.of("key"), Optional.of(left), 0, 0, Optional.empty());
-		caller.onDisconnect = this.service.take(request, caller);
+		caller.onDisconnect = this.service.handle(request, caller);
 		return caller;
 	}
 
@@ -187,7 +187,7 @@
 		}
 
 		@Override
-		public void reading(boolean on) {
+		public void setReading(boolean on) {
 			// The endpoints of these tests send only what the test says.
 		}
 
@@ -227,18 +227,18 @@
 		Runnable onDisconnect;
 
 		@Override
-		public void whole(int status, List<Header> headers, byte[] body) {
+		public void sendResponse(int status, List<Header> headers, byte[] body) {
 			this.received.append(status).append(' ').append(new String(body, StandardCharsets.UTF_8));
 		}
 
 		@Override
-		public void own(int status, String reason, Duration retryAfter) {
+		public void sendOwnResponse(int status, String reason, Duration retryAfter) {
 			this.received.append("own ").append(status);
 			this.retryAfter = retryAfter;
 		}
 
 		@Override
-		public void begin(int status, List<Header> headers) {
+		public void startStream(int status, List<Header> headers) {
 			this.received.append("begin").append(headers.isEmpty() ? "" : " " + headers.get(0).value());
 		}
 
@@ -251,12 +251,12 @@
 		}
 
 		@Override
-		public void onReadsAgain(Runnable task) {
+		public void onWritable(Runnable task) {
 			// This caller always reads.
 		}
 
 		@Override
-		public void end() {
+		public void endStream() {
 			this.received.append(" end");
 		}
 
@@ -294,12 +294,12 @@
 		}
 
 		@Override
-		public void fell(RequestDigest request, Backend endpoint) {
+		public void connectionLost(RequestDigest request, Backend endpoint) {
 			// Only responses are recorded here.
 		}
 
 		@Override
-		public void survived(RequestDigest request) {
+		public void completed(RequestDigest request) {
 			// Only responses are recorded here.
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayedRequestTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayedRequestTests.java
@@ -28,7 +28,7 @@
 		RelayFixture.RecordingCaller caller = this.fixture.call(path);
 		this.fixture.last().respond(201, false, "body");
 		Truth.assertThat(caller.received.toString()).isEqualTo("201 body");
-		Truth.assertThat(this.fixture.service.unfinished()).isEqualTo(0);
+		Truth.assertThat(this.fixture.service.activeRequestCount()).isEqualTo(0);
 	}
 
 	@ParameterizedTest
@@ -178,19 +178,19 @@
 		// crashes 3 s after the request arrived, and the caller's patience for the first
 		// event is applied to the rest of the stream.
 		this.fixture.call("/stream/1");
-		Truth.assertThat(this.fixture.lastPlacementRequest.left()).isEqualTo(Duration.ofSeconds(2));
+		Truth.assertThat(this.fixture.lastPlacementRequest.timeLeft()).isEqualTo(Duration.ofSeconds(2));
 		for (int i = 1; i <= 6; i++) {
 			this.fixture.last().sendEvents(i, i);
 			this.fixture.scheduler.advance(Duration.ofMillis(500));
 		}
 		this.fixture.last().listener.failed(true, "reset");
-		Truth.assertThat(this.fixture.lastPlacementRequest.left()).isEqualTo(Duration.ofSeconds(7));
+		Truth.assertThat(this.fixture.lastPlacementRequest.timeLeft()).isEqualTo(Duration.ofSeconds(7));
 	}
 
 	@Test
 	void deferredRequestIsPlacedAgain() {
 		for (int i = 0; i < 4; i++) {
-			this.fixture.scriptedPlacements.add(Placement.later(100, "lane reads"));
+			this.fixture.scriptedPlacements.add(Placement.waiting(100, "lane reads"));
 		}
 		this.fixture.call("/stream/1");
 		this.fixture.scheduler.advance(Duration.ofMillis(99));
@@ -204,7 +204,7 @@
 	@CsvSource({ "true, ''", "false, own 503" })
 	void deferredRequestEndsOnDisconnectOrDeadline(boolean leaves, String got) {
 		for (int i = 0; i < 500; i++) {
-			this.fixture.scriptedPlacements.add(Placement.later(100, "lane reads"));
+			this.fixture.scriptedPlacements.add(Placement.waiting(100, "lane reads"));
 		}
 		RelayFixture.RecordingCaller caller = this.fixture.call("/stream/1", Duration.ofSeconds(3));
 		this.fixture.scheduler.advance(Duration.ofMillis(1_000));
@@ -214,7 +214,7 @@
 		this.fixture.scheduler.advance(Duration.ofSeconds(4));
 		Truth.assertThat(caller.received.toString()).isEqualTo(got);
 		Truth.assertThat(this.fixture.sent).isEmpty();
-		Truth.assertThat(this.fixture.service.unfinished()).isEqualTo(0);
+		Truth.assertThat(this.fixture.service.activeRequestCount()).isEqualTo(0);
 	}
 
 	@ParameterizedTest
@@ -225,7 +225,7 @@
 		Truth.assertThat(this.fixture.sent).hasSize(sent);
 		Truth.assertThat(caller.received.toString()).isEqualTo(got);
 		Truth.assertThat(this.fixture.last().cancelled).isTrue();
-		Truth.assertThat(this.fixture.service.unfinished()).isEqualTo(0);
+		Truth.assertThat(this.fixture.service.activeRequestCount()).isEqualTo(0);
 	}
 
 	@Test
@@ -254,7 +254,7 @@
 	@CsvSource({ "/other/1, key, own 404", "/log/1, wrong, own 401" })
 	void refusesUnknownRouteOrKey(String path, String key, String got) {
 		RelayFixture.RecordingCaller caller = new RelayFixture.RecordingCaller();
-		this.fixture.service.take(request(path, key), caller);
+		this.fixture.service.handle(request(path, key), caller);
 		Truth.assertThat(caller.received.toString()).isEqualTo(got);
 		Truth.assertThat(this.fixture.sent).isEmpty();
 	}
@@ -319,10 +319,10 @@
 		this.fixture.call("/stream/x");
 		this.fixture.scheduler.advance(Duration.ofMillis(1));
 		if (leaves) {
-			this.fixture.backends.leaves(target.start());
+			this.fixture.backends.announceLeaving(target.start());
 		}
 		else {
-			this.fixture.health.asksForRest(target.start(), Duration.ofSeconds(3));
+			this.fixture.health.backoffRequested(target.start(), Duration.ofSeconds(3));
 		}
 		this.fixture.orders.answer(true);
 		Truth.assertThat(this.fixture.sent).hasSize(1);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RetryStateTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RetryStateTests.java
@@ -8,7 +8,7 @@
 import org.bramleyscale.internal.gateway.backend.EndpointStart;
 import org.bramleyscale.internal.gateway.catalog.Route;
 import org.bramleyscale.internal.gateway.catalog.Service;
-import org.bramleyscale.internal.gateway.retry.RetryWindow;
+import org.bramleyscale.internal.gateway.retry.RetryBudget;
 import org.bramleyscale.internal.time.ManualScheduler;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -52,11 +52,11 @@
 			.maxAttempts(maxAttempts)
 			.idempotent(repeatable)
 			.build();
-		RetryWindow window = new RetryWindow(new ManualScheduler(), Duration.ofSeconds(10), 0, budget, () -> 1);
+		RetryBudget window = new RetryBudget(new ManualScheduler(), Duration.ofSeconds(10), 0, budget, () -> 1);
 		RetryState state = new RetryState(window,
 				new ResolvedRoute(route, new Service(SERVICE, 1, Optional.empty()), Optional.empty(), 1));
 		for (int i = 0; i < attempts; i++) {
-			state.recordAttempt(EndpointStart.untold("e" + i));
+			state.recordAttempt(EndpointStart.withUnknownStart("e" + i));
 		}
 		for (int i = 0; i < mayHaveRun; i++) {
 			state.recordPossibleRun();
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/SendGateTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/SendGateTests.java
@@ -73,12 +73,12 @@
 		}
 
 		@Override
-		public void fell(RequestDigest request, Backend endpoint) {
+		public void connectionLost(RequestDigest request, Backend endpoint) {
 			throw new UnsupportedOperationException();
 		}
 
 		@Override
-		public void survived(RequestDigest request) {
+		public void completed(RequestDigest request) {
 			throw new UnsupportedOperationException();
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/StartQueueTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/StartupQueueTests.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests of {@link StartQueue}.
+ * Tests of {@link StartupQueue}.
  */
-class StartQueueTests {
+class StartupQueueTests {
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
@@ -26,7 +26,7 @@
 
 	private boolean ready;
 
-	private final StartQueue queue = new StartQueue(this.scheduler, () -> this.ready, this::take);
+	private final StartupQueue queue = new StartupQueue(this.scheduler, () -> this.ready, this::take);
 
 	@ParameterizedTest
 	@CsvSource({ "20, 100, 110", "20, 495, 500", "400, 450, 460", "20, 10000, 500" })
@@ -37,8 +37,8 @@
 		// is its last try.
 		this.scheduler.schedule(Duration.ofMillis(readyAt), () -> this.ready = true);
 		this.scheduler.advance(Duration.ofMillis(askedAt));
-		this.queue.take(request("first"), null);
-		this.queue.take(request("second"), null);
+		this.queue.handle(request("first"), null);
+		this.queue.handle(request("second"), null);
 		this.scheduler.advance(Duration.ofMillis(Math.min(readyAt, 500) - askedAt - 1));
 		Truth.assertThat(this.taken).isEmpty();
 		this.scheduler.advance(Duration.ofMillis(takenBy - Math.min(readyAt, 500) + 2));
@@ -49,15 +49,15 @@
 
 	@Test
 	void requestsAfterTheMaximumHoldAreNotHeld() {
-		this.scheduler.advance(StartQueue.MAX_HOLD);
-		this.queue.take(request("late"), null);
+		this.scheduler.advance(StartupQueue.MAX_HOLD);
+		this.queue.handle(request("late"), null);
 		Truth.assertThat(this.taken).containsExactly("late");
 	}
 
 	@Test
 	void heldRequestOfADisconnectedCallerIsDropped() {
-		this.queue.take(request("leaves"), null).run();
-		Runnable stays = this.queue.take(request("stays"), null);
+		this.queue.handle(request("leaves"), null).run();
+		Runnable stays = this.queue.handle(request("stays"), null);
 		this.ready = true;
 		this.scheduler.advance(Duration.ofMillis(20));
 		Truth.assertThat(this.taken).containsExactly("stays");
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/retry/RetryWindowTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/retry/RetryBudgetTests.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests of {@link RetryWindow}.
+ * Tests of {@link RetryBudget}.
  */
-class RetryWindowTests {
+class RetryBudgetTests {
 
 	private static final ServiceName SERVICE = new ServiceName("quotes");
 
@@ -23,12 +23,12 @@
 	@ParameterizedTest
 	@CsvSource({ "0, 7, 8", "100, 7, 28", "100, 1, 81", "0, 1000, 0" })
 	void boundsRetriesByRequestsAndShareOfTheConstant(int requests, int daemons, int allowed) {
-		RetryWindow window = new RetryWindow(this.scheduler, WINDOW, 0.2, 102, () -> daemons);
+		RetryBudget window = new RetryBudget(this.scheduler, WINDOW, 0.2, 102, () -> daemons);
 		for (int i = 0; i < requests; i++) {
-			window.first(SERVICE);
+			window.recordRequest(SERVICE);
 		}
 		int retries = 0;
-		while (retries < 1_000 && window.repeat(SERVICE)) {
+		while (retries < 1_000 && window.tryRetry(SERVICE)) {
 			retries++;
 		}
 		Truth.assertThat(retries).isEqualTo(allowed);
@@ -38,12 +38,12 @@
 	void noWindowExceedsItsBudgetWhileAllRequestsFail() {
 		// Guards against retries that triple the load of the remaining endpoints: half of
 		// the endpoints fail, and each request is retried without a bound.
-		RetryWindow window = new RetryWindow(this.scheduler, WINDOW, 0.2, 102, () -> 7);
+		RetryBudget window = new RetryBudget(this.scheduler, WINDOW, 0.2, 102, () -> 7);
 		int retries = 0;
 		for (int i = 0; i < 1_000; i++) {
-			window.first(SERVICE);
-			retries += window.repeat(SERVICE) ? 1 : 0;
-			retries += window.repeat(SERVICE) ? 1 : 0;
+			window.recordRequest(SERVICE);
+			retries += window.tryRetry(SERVICE) ? 1 : 0;
+			retries += window.tryRetry(SERVICE) ? 1 : 0;
 			this.scheduler.advance(Duration.ofMillis(100));
 		}
 		// 1,000 requests in 100 s: a fifth of them, and 8.7 in each of ten windows.
--- a/standins/src/main/java/org/bramleyscale/standins/platform/InMemoryObjectStore.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/InMemoryObjectStore.java
@@ -32,7 +32,7 @@
 
 	private final Duration timeout;
 
-	private boolean cutOff;
+	private boolean setPartitioned;
 
 	/**
 	 * Creates a caller's client.
@@ -51,8 +51,8 @@
 	 * it.
 	 * @param cutOff true to lose calls before they arrive
 	 */
-	public void cutOff(boolean cutOff) {
-		this.cutOff = cutOff;
+	public void setPartitioned(boolean cutOff) {
+		this.setPartitioned = cutOff;
 	}
 
 	@Override
@@ -90,7 +90,7 @@
 		CompletableFuture<T> result = new CompletableFuture<>();
 		Cancellable timeoutTask = this.scheduler.schedule(callTimeout,
 				() -> result.completeExceptionally(timeoutException(operation)));
-		if (!this.cutOff) {
+		if (!this.setPartitioned) {
 			this.service.scheduler()
 				.execute(() -> request.get()
 					.whenComplete((value, failure) -> this.scheduler
@@ -110,7 +110,7 @@
 	}
 
 	private static PlatformException timeoutException(PlatformOperation operation) {
-		PlatformException.Kind kind = (operation.changes()) ? PlatformException.Kind.UNKNOWN_OUTCOME
+		PlatformException.Kind kind = (operation.isWrite()) ? PlatformException.Kind.UNKNOWN_OUTCOME
 				: PlatformException.Kind.UNAVAILABLE;
 		return new PlatformException(kind, operation + " timed out without a reply");
 	}
--- a/standins/src/main/java/org/bramleyscale/standins/platform/PlatformFault.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/PlatformFault.java
@@ -36,7 +36,7 @@
 		return new PlatformFault(this.kind, this.operation, calls, this.delay);
 	}
 
-	public PlatformFault by(Duration delay) {
+	public PlatformFault withDelay(Duration delay) {
 		return new PlatformFault(this.kind, this.operation, this.calls, delay);
 	}
 
--- a/standins/src/main/java/org/bramleyscale/standins/platform/PlatformOperation.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/PlatformOperation.java
@@ -27,7 +27,7 @@
 	 * Whether the operation modifies objects and counts against the write rate.
 	 * @return false if it counts against the read rate
 	 */
-	public boolean changes() {
+	public boolean isWrite() {
 		return this == WRITE || this == DELETE;
 	}
 
--- a/standins/src/main/java/org/bramleyscale/standins/platform/PlatformState.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/PlatformState.java
@@ -51,7 +51,7 @@
 	 */
 	public void countAndCheckRate(PlatformOperation operation) throws PlatformException {
 		this.calls.merge(operation, 1L, Long::sum);
-		TokenBucket rateLimit = (operation.changes()) ? this.writes : this.reads;
+		TokenBucket rateLimit = (operation.isWrite()) ? this.writes : this.reads;
 		if (!rateLimit.tryTake()) {
 			throw new PlatformException(PlatformException.Kind.UNAVAILABLE,
 					operation + " exceeds the platform's rate limit");
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/Fleet.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/Fleet.java
@@ -270,7 +270,7 @@
 				this.hub.cut(left, right);
 			}
 		}));
-		this.daemons.forEach((vm, daemon) -> daemon.store().cutOff(this.isolated.contains(this.vms.get(vm))));
+		this.daemons.forEach((vm, daemon) -> daemon.store().setPartitioned(this.isolated.contains(this.vms.get(vm))));
 	}
 
 	private boolean connected(DataCentre left, DataCentre right) {
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/FleetDaemon.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/FleetDaemon.java
@@ -111,7 +111,7 @@
 
 	void kill() {
 		this.alive = false;
-		this.scheduler.end();
+		this.scheduler.crash();
 		List<Call> disconnected = new ArrayList<>(this.openConnections);
 		this.openConnections.clear();
 		disconnected.forEach((call) -> this.fleetScheduler.schedule(CALLER_LATENCY, call.onDisconnect));
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/FleetFault.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/FleetFault.java
@@ -83,7 +83,7 @@
 	PLATFORM_SLOW(12) {
 		@Override
 		Runnable begin(FaultTargets targets, RandomGenerator random) {
-			return platform(targets, PlatformFault.of(PlatformFault.Kind.SLOW).by(Duration.ofMillis(1_800)));
+			return platform(targets, PlatformFault.of(PlatformFault.Kind.SLOW).withDelay(Duration.ofMillis(1_800)));
 		}
 	},
 
--- a/standins/src/test/java/org/bramleyscale/standins/platform/LeasePropertyTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/LeasePropertyTests.java
@@ -31,7 +31,7 @@
 		cluster.faults().clear();
 		for (int index = 0; index < DAEMONS; index++) {
 			cluster.daemon(index).scheduler().resume();
-			cluster.daemon(index).store().cutOff(false);
+			cluster.daemon(index).store().setPartitioned(false);
 		}
 		cluster.advance(RECOVERY_TIME);
 		Truth.assertThat(cluster.holders()).hasSize(1);
@@ -68,9 +68,10 @@
 			switch (this.action) {
 				case PAUSE -> target.scheduler().pause();
 				case RESUME -> target.scheduler().resume();
-				case CUT_OFF -> target.store().cutOff(true);
-				case RECONNECT -> target.store().cutOff(false);
-				case FAULT -> cluster.faults().inject(PlatformFault.of(this.kind).by(FAULT_DELAY).times(this.calls));
+				case CUT_OFF -> target.store().setPartitioned(true);
+				case RECONNECT -> target.store().setPartitioned(false);
+				case FAULT ->
+					cluster.faults().inject(PlatformFault.of(this.kind).withDelay(FAULT_DELAY).times(this.calls));
 				case CLEAR -> cluster.faults().clear();
 				case STEP_CLOCK -> cluster.scheduler().stepWallTime(Duration.ofHours(this.calls));
 				default -> throw new IllegalStateException("Unknown action " + this.action);
--- a/standins/src/test/java/org/bramleyscale/standins/platform/LeaseTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/LeaseTests.java
@@ -142,7 +142,7 @@
 		LeaseCluster cluster = new LeaseCluster(7, Duration.ofSeconds(8)).started();
 		inject(cluster, PlatformFault.Kind.SLOW_REPLY, PlatformOperation.WRITE, 1, Duration.ofMillis(5500));
 		cluster.advance(LEASE_TIME.minusSeconds(1));
-		cluster.daemon(0).store().cutOff(true);
+		cluster.daemon(0).store().setPartitioned(true);
 		cluster.advance(LEASE_TIME.multipliedBy(2));
 		Truth.assertThat(cluster.holders()).hasSize(1);
 		Truth.assertThat(cluster.holders()).doesNotContain(cluster.daemon(0));
--- a/standins/src/test/java/org/bramleyscale/standins/platform/ObjectStoreContractTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/ObjectStoreContractTests.java
@@ -125,7 +125,7 @@
 	void reportsTheKnownOutcomeAfterAFault(Implementation implementation, FaultCase faultCase) throws Exception {
 		try (StoreFixture fixture = implementation.start(LIMITS)) {
 			ObjectStore store = (faultCase.isAnsweredAtOnce()) ? fixture.store() : fixture.shortTimeoutStore();
-			PlatformFault fault = PlatformFault.of(faultCase.fault).by(DELAY);
+			PlatformFault fault = PlatformFault.of(faultCase.fault).withDelay(DELAY);
 			fixture.change((service) -> service.faults().inject(fault.times(1)));
 			Supplier<CompletableFuture<?>> call = () -> faultCase.call.apply(store, KEY);
 			PlatformException failure = failure(fixture, call);
@@ -148,7 +148,7 @@
 		try (StoreFixture fixture = implementation.start(LIMITS)) {
 			ObjectStore store = fixture.store();
 			fixture.change((service) -> service.faults()
-				.inject(PlatformFault.of(PlatformFault.Kind.SLOW_REPLY).by(Duration.ofMillis(50)).times(1)));
+				.inject(PlatformFault.of(PlatformFault.Kind.SLOW_REPLY).withDelay(Duration.ofMillis(50)).times(1)));
 			Truth.assertThat(fixture.call(() -> store.write(KEY, VALUE, 0)).version()).isEqualTo(1);
 		}
 	}
--- a/standins/src/test/java/org/bramleyscale/standins/platform/PausableScheduler.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/PausableScheduler.java
@@ -40,7 +40,7 @@
 	/**
 	 * Drops all pending and future tasks, like a crash of the process.
 	 */
-	public void end() {
+	public void crash() {
 		this.ended = true;
 		this.pending.clear();
 	}
