--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Amount.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Amount.java
@@ -1,17 +1,18 @@
 package org.bramleyscale.internal.endpoint;
 
 /**
- * A part of an endpoint's capacity.
+ * An amount of an endpoint's capacity, in request slots and KV memory.
  *
  * <p>
- * Immutable and safe for use by multiple threads. A difference may be negative.
+ * Immutable and safe for use by multiple threads. The result of {@link #minus} may be
+ * negative.
  *
- * @param slots requests at once
+ * @param slots concurrent requests
  * @param kvTokens KV memory in tokens; always 0 for a plain service
  */
 public record Amount(int slots, long kvTokens) {
 
-	/** Nothing. */
+	/** No slots and no memory. */
 	public static final Amount NONE = new Amount(0, 0);
 
 	public Amount plus(Amount other) {
@@ -35,9 +36,9 @@
 	}
 
 	/**
-	 * Halves both parts, rounding down.
-	 * @param times how often; any number
-	 * @return what is left
+	 * Halves slots and memory repeatedly, rounding down.
+	 * @param times how many times to halve; may exceed the number of bits
+	 * @return the halved amount
 	 */
 	public Amount halved(long times) {
 		if (times >= Integer.SIZE - 1) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/CancelResult.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/CancelResult.java
@@ -1,17 +1,17 @@
 package org.bramleyscale.internal.endpoint;
 
 /**
- * What an engine says when asked to cancel an attempt.
+ * The result of a request to an engine to cancel an attempt.
  */
 public enum CancelResult {
 
-	/** It never heard of the attempt and will refuse it from now on. */
+	/** The engine has not received the attempt and refuses it from now on. */
 	NEVER_STARTED,
 
-	/** It had begun and has stopped; its memory is free. */
+	/** The engine had started the attempt and has stopped it; its memory is free. */
 	STOPPED,
 
-	/** It had already finished. */
+	/** The attempt had already finished. */
 	FINISHED
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/EndpointMessages.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/EndpointMessages.java
@@ -3,7 +3,7 @@
 import org.bramleyscale.internal.peer.MessageCatalog;
 
 /**
- * The wire codes of this slice's messages, 30 to 49.
+ * The wire codes of the messages of this package, 30 to 49.
  */
 public final class EndpointMessages {
 
@@ -31,7 +31,7 @@
 	}
 
 	/**
-	 * Enters the messages.
+	 * Registers the messages.
 	 * @param catalog the catalog being built
 	 */
 	public static void register(MessageCatalog.Builder catalog) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/EndpointPool.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/EndpointPool.java
@@ -10,7 +10,8 @@
 import org.bramleyscale.internal.routing.Candidate;
 
 /**
- * An entry's side of the endpoints it uses: grants, reports, learnt speeds and health.
+ * An entry's view of the endpoints it uses: grants, load reports, estimated speeds and
+ * health.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -18,53 +19,54 @@
 public interface EndpointPool {
 
 	/**
-	 * The endpoints that may be given new work: not leaving, not ejected.
+	 * Returns the endpoints that may receive new requests: neither leaving nor ejected.
 	 * @param service the service
 	 * @param model the model, or null for a plain service
-	 * @return the candidates in a stable order; those without room in their grant are
-	 * included, with no slots or memory left
+	 * @return the candidates in a stable order, including those whose grant is exhausted,
+	 * which have no slots or memory left
 	 */
 	List<Candidate> candidates(ServiceName service, ModelName model);
 
 	/**
-	 * Takes part of a grant.
+	 * Acquires capacity from an endpoint's grant for one request.
 	 * @param endpoint the endpoint
-	 * @param kvTokens memory the request may need at most, in tokens; 0 for a plain
+	 * @param kvTokens the most memory the request may need, in tokens; 0 for a plain
 	 * service
-	 * @param promptTokens prompt tokens it will have to compute
-	 * @return the permit, or empty if the grant has no room
+	 * @param promptTokens prompt tokens that the endpoint has to compute
+	 * @return the permit, or empty if the grant has too little capacity left
 	 */
 	Optional<Permit> acquire(EndpointId endpoint, long kvTokens, int promptTokens);
 
 	/**
-	 * Tells that a request waits because no candidate has room for it, so that room may
-	 * be collected for it; to be told again about once a second while it waits.
+	 * Reports that a request waits because no candidate has enough capacity for it, so
+	 * that the pool can demand more. Callers repeat the report about once a second while
+	 * the request waits.
 	 * @param service the service
 	 * @param model the model, or null for a plain service
-	 * @param kvTokens memory the request may need at most, in tokens
+	 * @param kvTokens the most memory the request may need, in tokens
 	 */
 	default void wanted(ServiceName service, ModelName model, long kvTokens) {
 	}
 
 	/**
-	 * Learns from one attempt.
+	 * Updates speeds and health from the outcome of one attempt.
 	 * @param endpoint the endpoint
-	 * @param observation what was seen
+	 * @param observation the measurements of the attempt
 	 */
 	void observed(EndpointId endpoint, Observation observation);
 
 	/**
-	 * Learns that an attempt has brought no first token long after it was expected; told
-	 * again while that lasts.
+	 * Reports that an attempt's first token is long overdue. Callers repeat the report
+	 * while that remains so.
 	 * @param endpoint the endpoint
-	 * @param waited how long ago the attempt was sent
-	 * @param predicted the time to first token predicted then
+	 * @param waited the time since the attempt was sent
+	 * @param predicted the time to first token that was predicted when it was sent
 	 */
 	default void overdue(EndpointId endpoint, Duration waited, Duration predicted) {
 	}
 
 	/**
-	 * Adds a listener called when room may have appeared.
+	 * Adds a listener that is called when capacity may have become available.
 	 * @param listener the listener
 	 */
 	void onRoom(Runnable listener);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/EndpointSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/EndpointSettings.java
@@ -3,21 +3,22 @@
 import java.time.Duration;
 
 /**
- * The settings of pool, owner and reservations.
+ * The settings of the endpoint pool, owner and reservations.
  *
  * <p>
- * Invariant: all daemons of a fleet use the same values; a new owner waits for grants of
- * a former one by its own settings. Immutable and safe for use by multiple threads.
+ * Invariant: all daemons of a fleet use the same values; a new owner computes from its
+ * own settings how long to wait until the grants of the previous owner have expired.
+ * Immutable and safe for use by multiple threads.
  */
 public final class EndpointSettings {
 
-	/** How many bytes a demand and its grant cost for one endpoint, names included. */
-	static final int PAIR_BYTES = 140;
+	/** Bytes of a demand item and its grant item for one endpoint, names included. */
+	static final int BYTES_PER_ENDPOINT = 140;
 
-	/** What the frames of a demand and its grant cost beyond their items. */
-	static final int EXCHANGE_BYTES = 50;
+	/** Bytes of the frames of a demand and its grant, without their items. */
+	static final int FRAME_OVERHEAD_BYTES = 50;
 
-	/** What a report costs on the wire, both ways, with HTTP headers. */
+	/** Bytes of a report on the wire, request and response with HTTP headers. */
 	private static final int REPORT_BYTES = 500;
 
 	private static final int REPORT_BYTES_PER_SECOND = 1_500;
@@ -74,18 +75,19 @@
 	}
 
 	/**
-	 * How many endpoints an entry uses at most over all services.
-	 * @param members how many daemons there are
-	 * @return the number
+	 * Returns the maximum number of endpoints that an entry uses over all services.
+	 * @param members the number of daemons
+	 * @return the maximum, {@link Integer#MAX_VALUE} in a small fleet
 	 */
 	public int maxPairs(int members) {
 		return (smallFleet(members)) ? Integer.MAX_VALUE : this.maxPairs;
 	}
 
 	/**
-	 * Whether a fleet is so small that every entry keeps in contact with every owner.
-	 * @param members how many daemons there are
-	 * @return true if neither endpoints in use nor bytes for control are limited
+	 * Returns whether a fleet is small enough for every entry to stay in contact with
+	 * every owner.
+	 * @param members the number of daemons
+	 * @return true if neither the endpoints in use nor the control traffic is limited
 	 */
 	public boolean smallFleet(int members) {
 		return members <= this.smallFleet;
@@ -100,9 +102,10 @@
 	}
 
 	/**
-	 * How often an owner asks endpoints in use for their reports.
-	 * @param endpoints how many it asks
-	 * @param members how many daemons there are
+	 * Returns the interval at which an owner polls the endpoints in use for their load
+	 * reports.
+	 * @param endpoints the number of endpoints it polls
+	 * @param members the number of daemons
 	 * @return the period
 	 */
 	public Duration reportPeriod(int endpoints, int members) {
@@ -120,24 +123,24 @@
 	}
 
 	/**
-	 * How often an entry sends demands, so that in a large fleet demands and grants stay
-	 * within the bytes allowed for them.
-	 * @param pairs how many endpoints it uses
-	 * @param members how many daemons there are
+	 * Returns the interval at which an entry sends demands, chosen so that in a large
+	 * fleet demands and grants stay within the byte rate allowed for them.
+	 * @param pairs the number of endpoints the entry uses
+	 * @param members the number of daemons
 	 * @return the period in milliseconds
 	 */
 	public int periodMillis(int pairs, int members) {
 		if (smallFleet(members)) {
 			return (int) this.demandPeriod.toMillis();
 		}
-		long bytes = (long) pairs * (PAIR_BYTES + EXCHANGE_BYTES);
+		long bytes = (long) pairs * (BYTES_PER_ENDPOINT + FRAME_OVERHEAD_BYTES);
 		long needed = 1_000L * bytes / this.controlBytesPerSecond;
 		return (int) Math.max(this.demandPeriod.toMillis(), Math.min(MAX_PERIOD_MILLIS, needed));
 	}
 
 	/**
-	 * How long a grant is good for an entry that sends demands so often.
-	 * @param periodMillis the entry's period
+	 * Returns how long a grant is valid for an entry with the given demand period.
+	 * @param periodMillis the entry's demand period
 	 * @return the lifetime in milliseconds
 	 */
 	public int lifetimeMillis(int periodMillis) {
@@ -147,9 +150,9 @@
 	}
 
 	/**
-	 * The longest lifetime of a grant when entries use at most so many endpoints.
-	 * @param endpoints how many endpoints the register has
-	 * @param members how many daemons there are
+	 * Returns the longest lifetime that a grant can have.
+	 * @param endpoints the number of endpoints in the register
+	 * @param members the number of daemons
 	 * @return the lifetime in milliseconds
 	 */
 	public int longestLifetimeMillis(int endpoints, int members) {
@@ -157,7 +160,7 @@
 	}
 
 	/**
-	 * Collects settings; not safe for use by multiple threads.
+	 * Builds {@link EndpointSettings}. Not safe for use by multiple threads.
 	 */
 	public static final class Builder {
 
@@ -185,7 +188,7 @@
 		}
 
 		/**
-		 * Sets how many endpoints of each service an entry uses at most.
+		 * Sets the maximum number of endpoints of each service that an entry uses.
 		 * @param value the number, at least 1
 		 * @return this builder
 		 */
@@ -195,8 +198,8 @@
 		}
 
 		/**
-		 * Sets how many endpoints an entry of a large fleet uses at most over all
-		 * services.
+		 * Sets the maximum number of endpoints that an entry of a large fleet uses over
+		 * all services.
 		 * @param value the number, at least 1
 		 * @return this builder
 		 */
@@ -206,8 +209,8 @@
 		}
 
 		/**
-		 * Sets up to how many daemons neither the endpoints in use nor the bytes for
-		 * demands and grants are limited.
+		 * Sets the largest number of daemons for which neither the endpoints in use nor
+		 * the byte rate of demands and grants is limited.
 		 * @param value the number, at least 1
 		 * @return this builder
 		 */
@@ -217,9 +220,8 @@
 		}
 
 		/**
-		 * Sets the bytes a second that demands and grants of an entry may cost in a large
-		 * fleet.
-		 * @param value the bytes, at least 1
+		 * Sets the byte rate of an entry's demands and grants in a large fleet.
+		 * @param value bytes a second, at least 1
 		 * @return this builder
 		 */
 		public Builder controlBytesPerSecond(int value) {
@@ -253,7 +255,7 @@
 		}
 
 		/**
-		 * Sets the KV tokens that an entry may use before it has heard any grant.
+		 * Sets the KV tokens that an entry may use before it receives any grant.
 		 * @param value the tokens, at least 1
 		 * @return this builder
 		 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/EngineHold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/EngineHold.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * KV memory that an engine keeps free for a request yet to come.
+ * KV memory that an engine reserves for a future request.
  *
  * @param hold the hold's id, unique on the engine
- * @param holder the incarnation for which it is kept, in its written form
- * @param kvTokens how much memory, in tokens
- * @param expiresIn how long the engine keeps it unless renewed
+ * @param holder the incarnation that the memory is held for, in its text form
+ * @param kvTokens the amount of memory, in tokens
+ * @param expiresIn the time after which the engine drops the hold unless it is renewed
  */
 public record EngineHold(String hold, String holder, long kvTokens, Duration expiresIn) {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/EngineOrder.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/EngineOrder.java
@@ -1,30 +1,30 @@
 package org.bramleyscale.internal.endpoint;
 
 /**
- * An order to an engine to reach a desired state; repeating it changes nothing.
+ * An order to an engine to reach a desired state. Orders are idempotent.
  *
- * @param kind what shall change
+ * @param kind what the order changes
  * @param desired the desired value: a model, adapter or version name, or a role
- * @param fence the lease number of who orders; an engine that checks it refuses smaller
- * numbers than it has seen
+ * @param fence the fencing token, which is the lease number of the sender; an engine that
+ * checks fencing refuses numbers smaller than the largest it has received
  */
 public record EngineOrder(Kind kind, String desired, long fence) {
 
 	/**
-	 * What an order changes.
+	 * The state that an order changes.
 	 */
 	public enum Kind {
 
-		/** Have the model loaded. */
+		/** Load the model. */
 		LOAD_MODEL,
 
-		/** Have the adapter loaded. */
+		/** Load the adapter. */
 		LOAD_ADAPTER,
 
-		/** Have the model not loaded. */
+		/** Unload the model. */
 		UNLOAD_MODEL,
 
-		/** Take the role. */
+		/** Assume the role. */
 		SET_ROLE
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Grant.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Grant.java
@@ -5,11 +5,11 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * An owner's grant to one entry.
+ * A message by which an owner grants one entry shares of its endpoints.
  *
- * @param demandSentMillis the sending time carried by the entry's last demand
- * @param lifetimeMillis how long after that time the grant is good
- * @param items one for each endpoint
+ * @param demandSentMillis the sending time that the entry's last demand carried
+ * @param lifetimeMillis how long the grant is valid, measured from that time
+ * @param items one item per endpoint
  */
 public record Grant(long demandSentMillis, int lifetimeMillis, List<GrantItem> items) implements PeerMessage {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/HoldTimes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/HoldTimes.java
@@ -3,36 +3,42 @@
 import java.time.Duration;
 
 /**
- * The times after which held memory is free again.
+ * The periods and timeouts of memory holds, and the bounds on the time until held memory
+ * is released.
  */
 public final class HoldTimes {
 
-	/** How often a holder renews its holds, and repeats what it waits for. */
+	/** The interval at which a holder renews its holds and repeats pending requests. */
 	public static final Duration RENEW_PERIOD = Duration.ofSeconds(2);
 
-	/** An owner that doesn't hear a holder for so long ends its holds. */
+	/** The time without a message from a holder after which an owner ends its holds. */
 	public static final Duration SILENCE = Duration.ofSeconds(6);
 
-	/** How often an owner renews at the engine a hold whose holder is heard. */
+	/** The interval at which an owner renews the holds of a live holder at the engine. */
 	public static final Duration ENGINE_RENEW_PERIOD = Duration.ofSeconds(10);
 
-	/** An engine drops a hold that nobody renews for so long. */
+	/** The time after which an engine drops a hold that has not been renewed. */
 	public static final Duration ENGINE_LIFETIME = Duration.ofSeconds(30);
 
-	/** How often an owner compares the engine's list of holds with its own. */
+	/**
+	 * The interval at which an owner reconciles the engine's list of holds with its own.
+	 */
 	public static final Duration RECONCILE_PERIOD = Duration.ofSeconds(5);
 
-	/** How long a call to an engine may take, and how often owners look after holds. */
-	private static final Duration CALL = Duration.ofSeconds(2);
+	/** The timeout of a call to an engine, and the interval of the owner's checks. */
+	private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
 	/**
-	 * With a live owner that holds its lease, memory is free so long after its holder
-	 * died or gave it back, even if a message or a call was lost.
+	 * The longest time until memory is free after its holder crashed or released it, even
+	 * if a message or a call was lost, given a live owner that holds its lease.
 	 */
-	public static final Duration FREED_BY_OWNER = SILENCE.plus(RECONCILE_PERIOD).plus(CALL);
+	public static final Duration MAX_RETENTION_WITH_OWNER = SILENCE.plus(RECONCILE_PERIOD).plus(CALL_TIMEOUT);
 
-	/** Memory is free so long after its holder died, whatever else fails meanwhile. */
-	public static final Duration FREED_ALWAYS = SILENCE.plus(ENGINE_LIFETIME).plus(CALL);
+	/**
+	 * The longest time until memory is free after its holder crashed, whatever else
+	 * fails.
+	 */
+	public static final Duration FREED_ALWAYS = SILENCE.plus(ENGINE_LIFETIME).plus(CALL_TIMEOUT);
 
 	private HoldTimes() {
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/KnownEndpoints.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/KnownEndpoints.java
@@ -10,7 +10,7 @@
 import org.bramleyscale.internal.configuration.EndpointEntry;
 
 /**
- * What an entry knows of the endpoints it uses, as its reservations need it.
+ * The state of the endpoints that an entry uses, as needed by its reservations.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -18,8 +18,8 @@
 public interface KnownEndpoints {
 
 	/**
-	 * The endpoints of a service that this entry uses and that are neither leaving nor
-	 * ejected.
+	 * Returns the endpoints of a service that this entry uses and that are neither
+	 * leaving nor ejected.
 	 * @param service the service
 	 * @param model the model
 	 * @return the endpoints in a stable order
@@ -27,14 +27,14 @@
 	List<EndpointEntry> usable(ServiceName service, ModelName model);
 
 	/**
-	 * The newest report that came with a grant.
+	 * Returns the newest load report received with a grant.
 	 * @param endpoint the endpoint
 	 * @return the report, or empty if there is none
 	 */
 	Optional<LoadReport> report(EndpointId endpoint);
 
 	/**
-	 * The daemon that owns the endpoint, as far as is known.
+	 * Returns the daemon that owns the endpoint, as far as this entry knows.
 	 * @param endpoint the endpoint
 	 * @return the owner's VM, or empty if there is none
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/LoadReport.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/LoadReport.java
@@ -5,18 +5,18 @@
 import org.bramleyscale.EndpointId;
 
 /**
- * What an endpoint reported of itself, already old when it arrives.
+ * An endpoint's report of its own load, which is out of date by the time it arrives.
  *
  * @param endpoint the endpoint
- * @param boot a number that differs at each start of the endpoint
- * @param sequence one more at each report of this boot
- * @param running requests being worked on
- * @param waiting requests accepted but not begun
- * @param slots requests it can work on at once
+ * @param boot a number that differs for each start of the endpoint
+ * @param sequence the sequence number, which increases by one with each report of a boot
+ * @param running requests being executed
+ * @param waiting requests accepted but not started
+ * @param slots requests it can execute concurrently
  * @param queuedPrefillTokens prompt tokens accepted but not yet computed
- * @param kvUsed KV memory in use, in tokens, holds included
- * @param kvCapacity KV memory in all, in tokens
- * @param leaving whether it announces that it will stop
+ * @param kvUsed KV memory in use, in tokens, including holds
+ * @param kvCapacity total KV memory, in tokens
+ * @param leaving whether the endpoint announces that it will stop
  * @param models the models loaded
  */
 public record LoadReport(EndpointId endpoint, long boot, long sequence, int running, int waiting, int slots,
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/LoopbackPeerNetwork.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/LoopbackPeerNetwork.java
@@ -17,10 +17,10 @@
  * A peer network that also delivers messages to the daemon itself.
  *
  * <p>
- * The owner of an endpoint may be the entry that uses it. Messages to oneself are
- * delivered by a later task, never within {@code send}, so that both ways have the same
- * order of events. Pool, owner and reservations of a daemon must share one instance.
- * Confined to the scheduler's thread.
+ * The owner of an endpoint may be the entry that uses it. Messages to the local daemon
+ * are delivered by a later task, never within {@code send}, so that local and remote
+ * delivery have the same order of events. The pool, owner and reservations of a daemon
+ * must share one instance. Confined to the scheduler's thread.
  */
 public final class LoopbackPeerNetwork implements PeerNetwork {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/OwnerAnnounced.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/OwnerAnnounced.java
@@ -4,7 +4,8 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * A daemon has taken the lease of a shard; owners with a smaller epoch stop granting.
+ * The announcement that a daemon has acquired the lease of a shard. Owners with a smaller
+ * epoch stop granting.
  *
  * @param dataCentre the shard's data centre
  * @param shard the shard's code
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/OwnerlessShare.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/OwnerlessShare.java
@@ -3,31 +3,32 @@
 import java.time.Duration;
 
 /**
- * What an entry may use of an endpoint whose owner it doesn't hear.
+ * The share of an endpoint that an entry may use while the owner is unreachable.
  *
  * <p>
  * The share halves at once when the grant expires and again after each further lifetime,
- * down to one slot. Once every other cut-off entry must have shrunk as far as an equal
- * split of the capacity, the entry may use its equal split, so that a long loss of
- * control doesn't leave the endpoints nearly idle. The owner reckons with the same
- * function for entries it doesn't hear. Stateless and safe for use by multiple threads.
+ * down to one slot. Once every other partitioned entry must have shrunk to an equal split
+ * of the capacity, the entry may use its equal split, so that a long loss of contact
+ * doesn't leave the endpoints nearly idle. The owner applies the same function to entries
+ * that it can't reach. Stateless and safe for use by multiple threads.
  */
 public final class OwnerlessShare {
 
-	/** After so long without an owner the equal split may be used. */
+	/** The time without an owner after which an entry may use the equal split. */
 	public static final Duration SETTLED = Duration.ofSeconds(10);
 
 	private OwnerlessShare() {
 	}
 
 	/**
-	 * The share.
+	 * Returns the share.
 	 * @param granted the last grant
-	 * @param equal the equal split of the capacity; nothing if the capacity is unknown
-	 * @param floor what may always be used
+	 * @param equal the equal split of the capacity; {@link Amount#NONE} if the capacity
+	 * is unknown
+	 * @param floor the amount that may always be used
 	 * @param sinceExpiry nanoseconds since the grant expired; not negative
 	 * @param lifetime the grant's lifetime in nanoseconds
-	 * @return what may be used, requests in flight included
+	 * @return the amount that may be used, including requests in flight
 	 */
 	public static Amount of(Amount granted, Amount equal, Amount floor, long sinceExpiry, long lifetime) {
 		if (sinceExpiry >= SETTLED.toNanos()) {
@@ -37,10 +38,10 @@
 	}
 
 	/**
-	 * The equal split of a capacity.
+	 * Splits a capacity equally.
 	 * @param capacity the capacity
-	 * @param entries how many entries may use it; at least 1
-	 * @return the split, rounded down
+	 * @param entries the number of entries that may use it, at least 1
+	 * @return the amount for each entry, rounded down
 	 */
 	public static Amount equalSplit(Amount capacity, int entries) {
 		int divisor = Math.max(1, entries);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Pacing.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Pacing.java
@@ -1,44 +1,44 @@
 package org.bramleyscale.internal.endpoint;
 
 /**
- * Spaces out acts that each follow at once from an event: the first goes at once, and the
- * pause doubles while the events keep coming.
+ * Limits the rate of event-driven messages by exponential back-off: the first message is
+ * sent at once, and the pause doubles while events continue.
  *
  * <p>
- * Without it an overloaded endpoint, where every refused request asks for more room,
- * would fill the control traffic with messages that change nothing. Confined to the
- * scheduler's thread.
+ * Without this limit an overloaded endpoint, where every refused request demands more
+ * capacity, would flood the control traffic with messages that change nothing. Confined
+ * to the scheduler's thread.
  */
 public final class Pacing {
 
-	private static final long SHORTEST = 20_000_000;
+	private static final long MIN_PAUSE_NANOS = 20_000_000;
 
-	/** After a gap of so many pauses the next act goes at once again. */
-	private static final long CALM_PAUSES = 4;
+	/** The gap, in multiples of the current pause, after which the pause is reset. */
+	private static final long RESET_AFTER_PAUSES = 4;
 
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
 	private long lastAt = NEVER;
 
-	private long pause = SHORTEST;
+	private long pause = MIN_PAUSE_NANOS;
 
 	/**
-	 * How long the next act must wait.
-	 * @param now the time
-	 * @return nanoseconds; zero or negative if it may happen now
+	 * Returns how long the next message must wait.
+	 * @param now the time in nanoseconds
+	 * @return the wait in nanoseconds; zero or negative if it may be sent now
 	 */
 	public long waitNanos(long now) {
 		return (this.lastAt == NEVER) ? 0 : this.lastAt + this.pause - now;
 	}
 
 	/**
-	 * Notes an act.
-	 * @param now the time
+	 * Records that a message was sent.
+	 * @param now the time in nanoseconds
 	 * @param longest the longest pause in nanoseconds
 	 */
 	public void acted(long now, long longest) {
-		boolean calm = now - this.lastAt > CALM_PAUSES * this.pause;
-		this.pause = calm ? SHORTEST : Math.max(SHORTEST, Math.min(longest, 2 * this.pause));
+		boolean reset = now - this.lastAt > RESET_AFTER_PAUSES * this.pause;
+		this.pause = reset ? MIN_PAUSE_NANOS : Math.max(MIN_PAUSE_NANOS, Math.min(longest, 2 * this.pause));
 		this.lastAt = now;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Permit.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Permit.java
@@ -3,10 +3,10 @@
 import org.bramleyscale.internal.configuration.EndpointEntry;
 
 /**
- * The right to use part of an endpoint's grant for one request.
+ * A permit to use part of an endpoint's grant for one request.
  *
  * <p>
- * Confined to the scheduler's thread. Invariant: {@link #close()} gives the part back
+ * Confined to the scheduler's thread. Invariant: {@link #close()} releases the part
  * exactly once, however often it is called.
  */
 public interface Permit extends AutoCloseable {
@@ -14,7 +14,8 @@
 	EndpointEntry endpoint();
 
 	/**
-	 * Tells that the first token arrived, so the prompt no longer waits to be computed.
+	 * Reports that the first token has arrived, so that the prompt no longer counts as
+	 * waiting for prefill.
 	 */
 	void firstToken();
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Redirect.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Redirect.java
@@ -5,11 +5,11 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * The answer of a daemon that got a demand for an endpoint which another daemon owns.
+ * The answer to a demand for an endpoint that another daemon owns.
  *
  * @param endpoint the endpoint
- * @param owner the owner by the newest announcement heard
- * @param epoch the epoch announced
+ * @param owner the owner according to the newest announcement received
+ * @param epoch the epoch of that announcement
  */
 public record Redirect(EndpointId endpoint, VmId owner, long epoch) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Refused.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Refused.java
@@ -4,26 +4,27 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * The engine doesn't hold the memory and won't unless asked anew.
+ * The answer that the engine doesn't hold the memory and won't unless a new request is
+ * made.
  *
  * @param endpoint the engine
  * @param hold the hold's id
- * @param reason why
+ * @param reason the reason for the refusal
  */
 public record Refused(EndpointId endpoint, String hold, Reason reason) implements PeerMessage {
 
 	/**
-	 * Why memory isn't held.
+	 * The reason why memory isn't held.
 	 */
 	public enum Reason {
 
-		/** The engine never has so much for one hold. */
+		/** The amount exceeds what the engine can provide for one hold. */
 		TOO_LARGE,
 
-		/** Too many wait already, or the engine is leaving. */
+		/** Too many holds are waiting, or the engine is leaving. */
 		BUSY,
 
-		/** It was held, but the engine lost it or it was released. */
+		/** The memory was held, but the engine lost it or it was released. */
 		LOST
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Release.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Release.java
@@ -4,8 +4,8 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * A holder gives a hold back, or no longer waits for it. If the message is lost, the hold
- * ends because it isn't renewed.
+ * A message by which a holder releases a hold or withdraws a pending one. If the message
+ * is lost, the hold expires because it isn't renewed.
  *
  * @param endpoint the engine
  * @param hold the hold's id
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Renew.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Renew.java
@@ -5,8 +5,8 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * A holder still needs its holds. Each is named in full, so that a new owner learns of
- * it.
+ * A holder's renewal of its holds. Each hold is described in full, so that a new owner
+ * can restore it.
  *
  * @param holds the holds on the owner's engines
  */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Renewed.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Renewed.java
@@ -5,7 +5,7 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * An owner keeps the holds.
+ * An owner's confirmation that it has renewed holds.
  *
  * @param holds the ids of the holds
  */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Reservations.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Reservations.java
@@ -11,7 +11,7 @@
 import org.bramleyscale.internal.configuration.EndpointEntry;
 
 /**
- * Reservation of KV memory on a group of engines for a prompt larger than one engine.
+ * Reservation of KV memory on a group of engines for prompts larger than one engine.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -19,24 +19,25 @@
 public interface Reservations {
 
 	/**
-	 * Asks for memory on a group of engines, all or nothing.
+	 * Reserves memory on a group of engines, all or nothing.
 	 * @param request the request
 	 * @param service the service
 	 * @param model the model
-	 * @param kvTokens memory needed in all, in tokens
-	 * @param within how long to wait for it
+	 * @param kvTokens total memory needed, in tokens
+	 * @param within the maximum time to wait for it
 	 * @param reserved called once with the group when all memory is held
-	 * @param failed called once instead when it couldn't be held in time
-	 * @return gives everything back, before or after it is reserved
+	 * @param failed called once instead if the memory could not be held in time
+	 * @return the reservation; closing it releases all memory, also while it is pending
 	 */
 	Reservation reserve(RequestId request, ServiceName service, ModelName model, long kvTokens, Duration within,
 			Consumer<List<GroupMember>> reserved, Consumer<ServingException> failed);
 
 	/**
-	 * The largest prompt plus answer that the service's engines could take together.
+	 * Returns the largest prompt plus answer that the service's engines can hold
+	 * together.
 	 * @param service the service
 	 * @param model the model
-	 * @return tokens, or 0 if nothing is known yet
+	 * @return the size in tokens, or 0 if no capacity is known yet
 	 */
 	long largest(ServiceName service, ModelName model);
 
@@ -55,7 +56,7 @@
 	 *
 	 * @param endpoint the engine
 	 * @param hold the id of the hold on it
-	 * @param kvTokens the memory held there
+	 * @param kvTokens the memory held there, in tokens
 	 */
 	record GroupMember(EndpointEntry endpoint, String hold, long kvTokens) {
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Reserve.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Reserve.java
@@ -4,12 +4,12 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * An entry asks an owner to hold memory; repeated while it waits, which changes nothing
- * but shows that it still waits.
+ * An entry's request to an owner to hold memory. It is repeated while the entry waits;
+ * the repetition is idempotent and shows the owner that the entry still waits.
  *
  * @param endpoint the engine
  * @param hold the hold's id, chosen by the entry and unique on the engine
- * @param kvTokens how much memory, in tokens
+ * @param kvTokens the amount of memory, in tokens
  */
 public record Reserve(EndpointId endpoint, String hold, long kvTokens) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Reserved.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Reserved.java
@@ -4,7 +4,7 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * The engine holds the memory.
+ * The answer that the engine holds the memory.
  *
  * @param endpoint the engine
  * @param hold the hold's id
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/ServiceCall.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/ServiceCall.java
@@ -11,9 +11,9 @@
  * @param id the request
  * @param method the HTTP method
  * @param path the path below the service, starting with a slash, query included
- * @param headers the caller's headers that are passed on
+ * @param headers the caller's headers to forward
  * @param body the body, possibly empty
- * @param timeLeft how long the call may still take
+ * @param timeLeft the time left until the call's deadline
  */
 public record ServiceCall(RequestId id, String method, String path, Map<String, String> headers, byte[] body,
 		Duration timeLeft) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/ServiceReply.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/ServiceReply.java
@@ -3,10 +3,10 @@
 import java.util.Map;
 
 /**
- * A plain service's answer, whole.
+ * The complete reply of a plain service.
  *
  * @param status the HTTP status
- * @param headers the headers that are passed on
+ * @param headers the headers to forward
  * @param body the body
  */
 public record ServiceReply(int status, Map<String, String> headers, byte[] body) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Shard.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Shard.java
@@ -3,7 +3,7 @@
 import org.bramleyscale.DataCentre;
 
 /**
- * A part of a data centre's endpoints that has one owner.
+ * A subset of a data centre's endpoints that has one owner.
  *
  * <p>
  * The number of shards is part of the identity: when a data centre grows, an endpoint may
@@ -11,7 +11,7 @@
  * Immutable and safe for use by multiple threads.
  *
  * @param dataCentre the endpoints' data centre
- * @param count how many shards the data centre has; a power of two
+ * @param count the data centre's number of shards, a power of two
  * @param number this shard's number, from 0
  */
 public record Shard(DataCentre dataCentre, int count, int number) {
@@ -26,9 +26,9 @@
 	}
 
 	/**
-	 * Reads a code.
+	 * Restores a shard from its code.
 	 * @param dataCentre the data centre
-	 * @param code what {@link #code()} gave
+	 * @param code the value of {@link #code()}
 	 * @return the shard
 	 */
 	public static Shard of(DataCentre dataCentre, int code) {
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * The name of the lease under which the shard is owned.
+	 * Returns the name of the lease under which the shard is owned.
 	 * @return the name
 	 */
 	public String leaseName() {
@@ -45,7 +45,8 @@
 	}
 
 	/**
-	 * Count and number as one small integer, for messages that name the endpoint anyway.
+	 * Returns count and number encoded in one small integer, for messages that identify
+	 * the endpoint anyway.
 	 * @return the code
 	 */
 	public int code() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/ShardMap.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/ShardMap.java
@@ -16,13 +16,13 @@
 import org.bramleyscale.internal.membership.Member;
 
 /**
- * Which shard an endpoint belongs to and which daemon should own each shard.
+ * Maps endpoints to shards and shards to the daemons that should own them.
  *
  * <p>
- * Invariant: two daemons with the same register and the same eligible members agree. A
- * data centre has the largest power of two of shards that isn't above its number of VMs,
- * so that the leases are about as many as the daemons and the number seldom changes.
- * Confined to the scheduler's thread, since owners are remembered once computed.
+ * Invariant: two daemons with the same register and the same eligible members agree. The
+ * number of a data centre's shards is the largest power of two that doesn't exceed its
+ * number of VMs, so that there are about as many leases as daemons and the number seldom
+ * changes. Confined to the scheduler's thread, since computed owners are cached.
  */
 public final class ShardMap {
 
@@ -49,8 +49,8 @@
 	}
 
 	/**
-	 * The daemon that should own a shard: one of its data centre, or any if that has
-	 * none.
+	 * Returns the daemon that should own a shard: one of its data centre, or any daemon
+	 * if that data centre has none.
 	 * @param shard the shard
 	 * @return the daemon's VM, or empty if there is no eligible member
 	 */
@@ -63,7 +63,7 @@
 	}
 
 	/**
-	 * The shards of a data centre.
+	 * Returns the shards of a data centre.
 	 * @param dataCentre the data centre
 	 * @return its shards in order
 	 */
@@ -75,7 +75,7 @@
 	private Optional<VmId> findOwner(Shard shard) {
 		List<Member> local = this.membersByDataCentre.computeIfAbsent(shard.dataCentre(), this::members);
 		List<Member> nodes = local.isEmpty() ? this.eligible : local;
-		return Rendezvous.first(shard.leaseName(), nodes, (member) -> member.vm().value()).map(Member::vm);
+		return Rendezvous.select(shard.leaseName(), nodes, (member) -> member.vm().value()).map(Member::vm);
 	}
 
 	private List<Member> members(DataCentre dataCentre) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/EndpointFleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/EndpointFleet.java
@@ -30,7 +30,8 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * Pools and owners of a few daemons on one manual clock, joined by fakes of their ports.
+ * The endpoint pools, owners and reservations of a few daemons on one manual clock, with
+ * fakes of network, membership, leases and engines.
  */
 public final class EndpointFleet {
 
@@ -80,8 +81,8 @@
 		return new EndpointId(endpoint);
 	}
 
-	public void advance(Duration span) {
-		this.scheduler.advance(span);
+	public void advance(Duration duration) {
+		this.scheduler.advance(duration);
 	}
 
 	public Daemon daemon(String vm) {
@@ -100,7 +101,7 @@
 		return this.leases;
 	}
 
-	/** The daemon that holds the lease of an endpoint's shard. */
+	/** Returns the daemon that holds the lease of an endpoint's shard, or "" if none. */
 	public String owner(String endpoint) {
 		ShardMap shards = new ShardMap(configuration(Set.of()).register(),
 				this.daemons.values().iterator().next().membership.eligible());
@@ -108,24 +109,26 @@
 		return this.leases.holder(lease).map(VmId::value).orElse("");
 	}
 
-	/** Stops a daemon's process without a word; the others learn of it at once. */
+	/** Crashes a daemon without any message; the others see it as dead at once. */
 	public void kill(String vm) {
 		this.network.leave(new VmId(vm));
 		Daemon daemon = this.daemons.remove(vm);
 		daemon.pool.stop();
 		daemon.reservations.stop();
-		daemon.dead = true;
-		this.leases.died(new VmId(vm));
+		daemon.killed = true;
+		this.leases.removeVm(new VmId(vm));
 		daemon.owner.stop();
 		this.membership.set(new VmId(vm), Member.State.DEAD);
 	}
 
-	public void mark(String vm, Member.State state) {
+	public void setState(String vm, Member.State state) {
 		this.membership.set(new VmId(vm), state);
 	}
 
-	/** Gives one daemon a configuration in which some endpoints are leaving. */
-	public void configure(String vm, Set<String> leaving) {
+	/**
+	 * Sets one daemon's configuration to one in which the given endpoints are leaving.
+	 */
+	public void configureLeaving(String vm, Set<String> leaving) {
 		this.version++;
 		this.daemons.get(vm).configuration.set(configuration(leaving));
 	}
@@ -154,7 +157,7 @@
 	}
 
 	/**
-	 * One daemon's part.
+	 * The components of one daemon.
 	 */
 	public final class Daemon {
 
@@ -172,7 +175,7 @@
 
 		public final GroupReservations reservations;
 
-		private boolean dead;
+		private boolean killed;
 
 		private Daemon(Incarnation incarnation) {
 			this.incarnation = incarnation;
@@ -202,33 +205,39 @@
 			this.pool.start();
 		}
 
-		public boolean dead() {
-			return this.dead;
+		public boolean killed() {
+			return this.killed;
 		}
 
-		/** Runs a request for a while, at the engine too; false if there was no room. */
-		public boolean run(String endpoint, long kvTokens, Duration time) {
+		/**
+		 * Starts a request that uses a permit and the engine for some time.
+		 * @return false if the pool had no permit
+		 */
+		public boolean tryRun(String endpoint, long kvTokens, Duration duration) {
 			FakeEngines.Engine engine = EndpointFleet.this.engines.engine(endpoint);
 			Optional<Permit> permit = this.pool.acquire(id(endpoint), kvTokens, (int) kvTokens);
-			permit.ifPresent((taken) -> {
+			permit.ifPresent((acquired) -> {
 				long boot = engine.boot;
 				engine.running++;
 				engine.kvUsed += kvTokens;
-				EndpointFleet.this.scheduler.schedule(time, () -> {
-					engine.finished(boot, kvTokens);
-					taken.close();
+				EndpointFleet.this.scheduler.schedule(duration, () -> {
+					engine.requestEnded(boot, kvTokens);
+					acquired.close();
 				});
 			});
 			return permit.isPresent();
 		}
 
-		/** Takes a permit and forgets it, or says that there was no room. */
-		public boolean take(String endpoint, long kvTokens) {
+		/**
+		 * Acquires a permit that is never closed.
+		 * @return false if the pool had no permit
+		 */
+		public boolean tryAcquire(String endpoint, long kvTokens) {
 			return this.pool.acquire(id(endpoint), kvTokens, (int) kvTokens).isPresent();
 		}
 
-		/** The slots left here by the pool's own word. */
-		public int slotsLeft(String endpoint) {
+		/** Returns the slots that this daemon's pool has left for an endpoint. */
+		public int availableSlots(String endpoint) {
 			return this.pool.candidates(SERVICE, MODEL)
 				.stream()
 				.filter((candidate) -> candidate.endpoint().equals(id(endpoint)))
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/EndpointFleetTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/EndpointFleetTests.java
@@ -18,7 +18,8 @@
 import org.bramleyscale.VmId;
 
 /**
- * What reaches an endpoint while entries, owners and the platform fail at random.
+ * Bounds on the requests in flight at an endpoint under random faults of entries, owners
+ * and the platform.
  */
 class EndpointFleetTests {
 
@@ -27,81 +28,80 @@
 	private static final int SLOTS = 16;
 
 	@Property(tries = 40, seed = "11")
-	void withoutFaultsOnlyFirstRequestsExceedTheCapacity(
-			@ForAll @Size(min = 60, max = 120) List<@From("loads") Act> acts) {
-		perform(acts, SLOTS + DAEMONS);
+	void onlyFirstRequestsExceedTheCapacityWithoutFaults(
+			@ForAll @Size(min = 60, max = 120) List<@From("loads") Action> actions) {
+		perform(actions, SLOTS + DAEMONS);
 	}
 
 	@Property(tries = 60, seed = "11")
-	void underFaultsTheExcessIsBounded(@ForAll @Size(min = 60, max = 120) List<@From("faults") Act> acts) {
-		// Shares of entries that a new owner can't hear are at most half of what they
-		// held,
-		// and every daemon may start one request without a grant.
-		perform(acts, SLOTS + SLOTS / 2 + DAEMONS);
+	void excessIsBoundedUnderFaults(@ForAll @Size(min = 60, max = 120) List<@From("faults") Action> actions) {
+		// The shares of entries that a new owner can't reach are at most half of their
+		// former grants, and every daemon may start one request without a grant.
+		perform(actions, SLOTS + SLOTS / 2 + DAEMONS);
 	}
 
 	@Provide
-	Arbitrary<Act> loads() {
-		return acts(Arbitraries.of(Kind.LOAD, Kind.LOAD, Kind.PAUSE));
+	Arbitrary<Action> loads() {
+		return actions(Arbitraries.of(Kind.LOAD, Kind.LOAD, Kind.PAUSE));
 	}
 
 	@Provide
-	Arbitrary<Act> faults() {
-		return acts(Arbitraries.frequencyOf(Tuple.of(12, Arbitraries.just(Kind.LOAD)),
+	Arbitrary<Action> faults() {
+		return actions(Arbitraries.frequencyOf(Tuple.of(12, Arbitraries.just(Kind.LOAD)),
 				Tuple.of(8, Arbitraries.of(Kind.class))));
 	}
 
-	private static Arbitrary<Act> acts(Arbitrary<Kind> kinds) {
+	private static Arbitrary<Action> actions(Arbitrary<Kind> kinds) {
 		return Combinators
 			.combine(kinds, Arbitraries.integers().between(1, DAEMONS), Arbitraries.integers().between(1, 40))
-			.as(Act::new);
+			.as(Action::new);
 	}
 
-	private static void perform(List<Act> acts, int bound) {
-		World world = new World(bound);
-		acts.forEach(world::perform);
+	private static void perform(List<Action> actions, int bound) {
+		Simulation simulation = new Simulation(bound);
+		actions.forEach(simulation::perform);
 	}
 
 	enum Kind {
 
-		LOAD, PAUSE, KILL, CUT, HEAL, OUTAGE, RECOVERY
+		LOAD, PAUSE, KILL, PARTITION, HEAL, OUTAGE, RECOVERY
 
 	}
 
-	record Act(Kind kind, int daemon, int size) {
+	record Action(Kind kind, int daemon, int size) {
 	}
 
-	private static final class World {
+	private static final class Simulation {
 
 		private final EndpointFleet fleet = new EndpointFleet(DAEMONS, "e1");
 
-		private final Set<String> cut = new HashSet<>();
+		private final Set<String> partitioned = new HashSet<>();
 
 		private final int bound;
 
-		private World(int bound) {
+		private Simulation(int bound) {
 			this.bound = bound;
 		}
 
-		private void perform(Act act) {
-			String vm = "vm-" + act.daemon;
-			switch (act.kind) {
-				case LOAD -> load(vm, act.size);
-				case PAUSE -> this.fleet.advance(Duration.ofMillis(100L * act.size));
+		private void perform(Action action) {
+			String vm = "vm-" + action.daemon;
+			switch (action.kind) {
+				case LOAD -> load(vm, action.size);
+				case PAUSE -> this.fleet.advance(Duration.ofMillis(100L * action.size));
 				case KILL -> kill(vm);
-				case CUT -> cut(vm);
+				case PARTITION -> partition(vm);
 				case HEAL -> heal(vm);
-				case OUTAGE -> this.fleet.leases().outage();
-				default -> this.fleet.leases().recovered();
+				case OUTAGE -> this.fleet.leases().startOutage();
+				default -> this.fleet.leases().endOutage();
 			}
 		}
 
-		private void load(String vm, int tries) {
+		private void load(String vm, int attempts) {
 			EndpointFleet.Daemon daemon = this.fleet.daemon(vm);
-			for (int i = 0; i < tries && daemon != null; i++) {
-				daemon.run("e1", 10_000, Duration.ofSeconds(1 + tries % 7));
+			for (int i = 0; i < attempts && daemon != null; i++) {
+				daemon.tryRun("e1", 10_000, Duration.ofSeconds(1 + attempts % 7));
 				this.fleet.advance(Duration.ofMillis(20));
-				check();
+				assertBound();
 			}
 		}
 
@@ -111,19 +111,19 @@
 			}
 		}
 
-		private void cut(String vm) {
-			if (this.cut.size() < 2 && this.fleet.daemon(vm) != null) {
-				this.fleet.network().cut(new VmId(vm));
-				this.cut.add(vm);
+		private void partition(String vm) {
+			if (this.partitioned.size() < 2 && this.fleet.daemon(vm) != null) {
+				this.fleet.network().partition(new VmId(vm));
+				this.partitioned.add(vm);
 			}
 		}
 
 		private void heal(String vm) {
 			this.fleet.network().heal(new VmId(vm));
-			this.cut.remove(vm);
+			this.partitioned.remove(vm);
 		}
 
-		private void check() {
+		private void assertBound() {
 			int running = this.fleet.engines.engine("e1").running;
 			Truth.assertThat(running).isAtMost(this.bound);
 		}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/EndpointMessagesTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/EndpointMessagesTests.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The slice's messages on the wire.
+ * Encoding and sizes of the messages of the endpoint package.
  */
 class EndpointMessagesTests {
 
 	private static final EndpointId ENDPOINT = new EndpointId("engine-shah-alam-0421");
 
-	/** Bytes of a frame's length before its payload. */
-	private static final int FRAME_LENGTH = 4;
+	/** Bytes of the length field that precedes a frame's payload. */
+	private static final int LENGTH_FIELD_BYTES = 4;
 
 	private static final String HOLD = "vm-17~m5x8k2ab~42.1";
 
@@ -33,21 +33,21 @@
 
 	@ParameterizedTest
 	@MethodSource("messages")
-	void arrivesAsItWasSent(PeerMessage message) throws Exception {
+	void encodedMessageDecodesToAnEqualOne(PeerMessage message) throws Exception {
 		Truth.assertThat(this.codec.decode("vm-2", this.codec.encode(message))).hasValue(message);
 	}
 
 	@Test
-	void demandAndGrantOfOneEndpointStayWithinWhatTheSettingsReckonWith() {
+	void demandAndGrantStayWithinTheSizesAssumedBySettings() {
 		int demand = this.codec.encode(new Demand(86_400_000, 1_000, List.of(demandItem(), demandItem()))).length
 				- this.codec.encode(new Demand(86_400_000, 1_000, List.of(demandItem()))).length;
 		GrantItem item = grantItem(GrantedReport.of(REPORT, 900, GrantedReport.modelsHash(REPORT)));
 		int grant = this.codec.encode(new Grant(86_400_000, 2_000, List.of(item, item))).length
 				- this.codec.encode(new Grant(86_400_000, 2_000, List.of(item))).length;
-		Truth.assertThat(demand + grant).isAtMost(EndpointSettings.PAIR_BYTES);
+		Truth.assertThat(demand + grant).isAtMost(EndpointSettings.BYTES_PER_ENDPOINT);
 		int frames = this.codec.encode(new Demand(86_400_000, 1_000, List.of())).length
-				+ this.codec.encode(new Grant(86_400_000, 2_000, List.of())).length + 2 * FRAME_LENGTH;
-		Truth.assertThat(frames).isAtMost(EndpointSettings.EXCHANGE_BYTES);
+				+ this.codec.encode(new Grant(86_400_000, 2_000, List.of())).length + 2 * LENGTH_FIELD_BYTES;
+		Truth.assertThat(frames).isAtMost(EndpointSettings.FRAME_OVERHEAD_BYTES);
 	}
 
 	static Stream<PeerMessage> messages() {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeConfiguration.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeConfiguration.java
@@ -8,7 +8,7 @@
 import org.bramleyscale.internal.configuration.ConfigurationSource;
 
 /**
- * A configuration that changes when it is told to.
+ * A configuration source whose configuration a test sets.
  */
 final class FakeConfiguration implements ConfigurationSource {
 
@@ -20,9 +20,9 @@
 		this.current = current;
 	}
 
-	void set(Configuration newer) {
-		this.current = newer;
-		List.copyOf(this.listeners).forEach((listener) -> listener.accept(newer));
+	void set(Configuration configuration) {
+		this.current = configuration;
+		List.copyOf(this.listeners).forEach((listener) -> listener.accept(configuration));
 	}
 
 	@Override
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeEngines.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeEngines.java
@@ -19,7 +19,8 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * Endpoints that report, keep holds and can be restarted; they generate nothing.
+ * An engine client with in-memory engines that report their load, keep holds and can be
+ * restarted. Generation, orders and service calls are not supported.
  */
 public final class FakeEngines implements EngineClient {
 
@@ -41,35 +42,35 @@
 	public CompletableFuture<LoadReport> report(EndpointEntry endpoint) {
 		Engine engine = engine(endpoint.name().value());
 		engine.polls++;
-		return later(engine, () -> engine.report(endpoint.name()));
+		return respond(engine, () -> engine.report(endpoint.name()));
 	}
 
 	@Override
 	public CompletableFuture<List<CacheEvent>> cacheEvents(EndpointEntry endpoint, long after) {
 		Engine engine = engine(endpoint.name().value());
-		return later(engine, () -> engine.events.stream().filter((event) -> event.sequence() > after).toList());
+		return respond(engine, () -> engine.events.stream().filter((event) -> event.sequence() > after).toList());
 	}
 
 	@Override
 	public CompletableFuture<List<EngineHold>> holds(EndpointEntry endpoint) {
 		Engine engine = engine(endpoint.name().value());
-		return later(engine, engine::liveHolds);
+		return respond(engine, engine::liveHolds);
 	}
 
 	@Override
 	public CompletableFuture<Boolean> hold(EndpointEntry endpoint, EngineHold hold) {
 		Engine engine = engine(endpoint.name().value());
-		return later(engine, () -> engine.take(hold));
+		return respond(engine, () -> engine.tryHold(hold));
 	}
 
 	@Override
 	public CompletableFuture<Void> release(EndpointEntry endpoint, String hold) {
 		Engine engine = engine(endpoint.name().value());
-		if (engine.releasesLost > 0) {
-			engine.releasesLost--;
-			return failed();
+		if (engine.releasesToFail > 0) {
+			engine.releasesToFail--;
+			return connectionFailure();
 		}
-		return later(engine, () -> {
+		return respond(engine, () -> {
 			engine.holds.remove(hold);
 			return null;
 		});
@@ -100,22 +101,22 @@
 		throw new UnsupportedOperationException();
 	}
 
-	private <T> CompletableFuture<T> later(Engine engine, java.util.function.Supplier<T> answer) {
+	private <T> CompletableFuture<T> respond(Engine engine, java.util.function.Supplier<T> answer) {
 		if (engine.down) {
-			return failed();
+			return connectionFailure();
 		}
 		CompletableFuture<T> future = new CompletableFuture<>();
 		this.scheduler.schedule(LATENCY, () -> future.complete(answer.get()));
 		return future;
 	}
 
-	private static <T> CompletableFuture<T> failed() {
+	private static <T> CompletableFuture<T> connectionFailure() {
 		return CompletableFuture
 			.failedFuture(new ServingException(ErrorCode.ENDPOINT_FAILED, Ran.NO, Step.CONNECT, "engine", "no answer"));
 	}
 
 	/**
-	 * One endpoint's figures, free to be set by a test.
+	 * The state of one engine, which a test may set.
 	 */
 	public final class Engine {
 
@@ -133,7 +134,7 @@
 
 		public boolean down;
 
-		public int releasesLost;
+		public int releasesToFail;
 
 		public int polls;
 
@@ -150,9 +151,9 @@
 			this.running = 0;
 		}
 
-		/** A request begun in a boot has ended; a later boot never knew it. */
-		public void finished(long begunIn, long kvTokens) {
-			if (begunIn == this.boot) {
+		/** Ends a request; a request started in an earlier boot has no effect. */
+		public void requestEnded(long startBoot, long kvTokens) {
+			if (startBoot == this.boot) {
 				this.running--;
 				this.kvUsed -= kvTokens;
 			}
@@ -168,12 +169,12 @@
 			return liveHolds().stream().mapToLong(EngineHold::kvTokens).sum();
 		}
 
-		private boolean take(EngineHold hold) {
+		private boolean tryHold(EngineHold hold) {
 			liveHolds();
-			TimedHold before = this.holds.remove(hold.hold());
+			TimedHold previous = this.holds.remove(hold.hold());
 			if (this.kvUsed + heldKv() + hold.kvTokens() > this.kvCapacity) {
-				if (before != null) {
-					this.holds.put(hold.hold(), before);
+				if (previous != null) {
+					this.holds.put(hold.hold(), previous);
 				}
 				return false;
 			}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeLeases.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeLeases.java
@@ -11,7 +11,7 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * Leases of several daemons: given in the order of seeking, with growing numbers.
+ * Leases of several daemons, assigned in the order of seeking, with increasing numbers.
  */
 final class FakeLeases {
 
@@ -33,8 +33,8 @@
 		return new View(vm);
 	}
 
-	/** The platform answers nobody; all leases lapse. */
-	void outage() {
+	/** Makes the platform unavailable; all leases lapse. */
+	void startOutage() {
 		this.down = true;
 		Map.copyOf(this.holders).forEach((name, holder) -> {
 			this.holders.remove(name);
@@ -42,30 +42,32 @@
 		});
 	}
 
-	void recovered() {
+	void endOutage() {
 		this.down = false;
-		this.seekers.keySet().forEach(this::give);
+		this.seekers.keySet().forEach(this::assign);
 	}
 
-	/** The VM is gone: what it held may be taken by others. */
-	void died(VmId vm) {
+	/** Removes a crashed VM and passes its leases on without notifying it. */
+	void removeVm(VmId vm) {
 		this.seekers.forEach((name, waiting) -> waiting.remove(vm));
 		Map.copyOf(this.holders).forEach((name, holder) -> {
 			if (holder.vm.equals(vm)) {
 				this.holders.remove(name);
-				give(name);
+				assign(name);
 			}
 		});
 	}
 
-	/** The VM can't reach the platform: its leases lapse and pass to others. */
+	/**
+	 * Makes the leases of a VM that can't reach the platform lapse and passes them on.
+	 */
 	void expire(VmId vm) {
 		this.seekers.values().forEach((waiting) -> waiting.remove(vm));
 		Map.copyOf(this.holders).forEach((name, holder) -> {
 			if (holder.vm.equals(vm)) {
 				this.holders.remove(name);
 				holder.listener.lost(holder);
-				give(name);
+				assign(name);
 			}
 		});
 	}
@@ -74,7 +76,7 @@
 		return Optional.ofNullable(this.holders.get(name)).map((seeker) -> seeker.vm);
 	}
 
-	private void give(String name) {
+	private void assign(String name) {
 		Map<VmId, Seeker> waiting = this.seekers.getOrDefault(name, Map.of());
 		if (this.down || this.holders.containsKey(name) || waiting.isEmpty()) {
 			return;
@@ -101,7 +103,7 @@
 		public void seek(String name, LeaseListener listener) {
 			FakeLeases.this.seekers.computeIfAbsent(name, (key) -> new LinkedHashMap<>())
 				.put(this.vm, new Seeker(name, this.vm, listener));
-			give(name);
+			assign(name);
 		}
 
 		@Override
@@ -110,7 +112,7 @@
 			Seeker holder = FakeLeases.this.holders.get(name);
 			if (holder != null && holder.vm.equals(this.vm)) {
 				FakeLeases.this.holders.remove(name);
-				give(name);
+				assign(name);
 			}
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeMembership.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeMembership.java
@@ -14,7 +14,7 @@
 import org.bramleyscale.internal.membership.MembershipView;
 
 /**
- * A membership that all daemons of a test share and that changes when it is told to.
+ * A membership that all daemons of a test share and whose states the test sets.
  */
 final class FakeMembership {
 
@@ -68,7 +68,7 @@
 			return Optional.ofNullable(FakeMembership.this.members.get(vm.value())).map(this::seen);
 		}
 
-		/** Nobody takes itself for dead. */
+		/** A daemon never considers itself dead. */
 		private Member seen(Member member) {
 			boolean dead = member.state() == Member.State.DEAD && member.incarnation().equals(this.self);
 			return dead ? new Member(member.incarnation(), member.dataCentre(), member.peerAddress(),
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeNetwork.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeNetwork.java
@@ -17,7 +17,8 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * Delivers messages between daemons after a fixed latency, unless a side is cut off.
+ * Delivers messages between daemons after a fixed latency, unless one of them is
+ * partitioned.
  */
 final class FakeNetwork {
 
@@ -27,7 +28,7 @@
 
 	private final Map<VmId, Peer> peers = new HashMap<>();
 
-	private final Set<VmId> silent = new HashSet<>();
+	private final Set<VmId> partitioned = new HashSet<>();
 
 	private Consumer<PeerMessage> tap = (message) -> {
 	};
@@ -46,13 +47,13 @@
 		this.peers.remove(vm);
 	}
 
-	/** Messages to and from the VM are lost without a sign. */
-	void cut(VmId vm) {
-		this.silent.add(vm);
+	/** Silently drops all messages to and from a VM. */
+	void partition(VmId vm) {
+		this.partitioned.add(vm);
 	}
 
 	void heal(VmId vm) {
-		this.silent.remove(vm);
+		this.partitioned.remove(vm);
 	}
 
 	void tap(Consumer<PeerMessage> listener) {
@@ -61,8 +62,8 @@
 
 	private void deliver(Peer from, VmId to, PeerMessage message) {
 		this.tap.accept(message);
-		boolean gone = this.peers.get(from.incarnation.vm()) != from;
-		if (gone || this.silent.contains(from.incarnation.vm()) || this.silent.contains(to)) {
+		boolean staleSender = this.peers.get(from.incarnation.vm()) != from;
+		if (staleSender || this.partitioned.contains(from.incarnation.vm()) || this.partitioned.contains(to)) {
 			return;
 		}
 		this.scheduler.schedule(LATENCY, () -> {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/GrantedEndpointPoolTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/GrantedEndpointPoolTests.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * One pool against an owner whose every message the test writes.
+ * A pool whose owner is replaced by messages that the test sends.
  */
 class GrantedEndpointPoolTests {
 
@@ -35,7 +35,7 @@
 	private int shard;
 
 	@BeforeEach
-	void silenceTheRealOwner() {
+	void replaceOwner() {
 		this.fleet.daemons().forEach((daemon) -> daemon.owner.stop());
 		this.fleet.daemon("vm-2").pool.stop();
 		this.owner = this.fleet.network().join(new Incarnation(new VmId("vm-2"), 1));
@@ -53,14 +53,13 @@
 	}
 
 	@Test
-	void expiryIsCountedFromTheSendingOfTheDemand() {
-		// Symptom: more in flight than the endpoint takes, after a slow moment of the
-		// network. Sequence: a grant arrives late, the owner's account ends it in time,
-		// the
-		// entry uses it on. Cause: expiry counted from the receipt.
-		long asked = millis();
+	void grantExpiryIsMeasuredFromTheSendingOfTheDemand() {
+		// Guards against exceeding the endpoint's capacity when a grant arrives late:
+		// the owner's account ends the grant on time, while an entry that measures
+		// expiry from the receipt keeps using it.
+		long demandSent = millis();
 		this.fleet.advance(Duration.ofMillis(1_900));
-		grant(asked, 5, 1, 8);
+		grant(demandSent, 5, 1, 8);
 		Truth.assertThat(slots()).isEqualTo(8);
 		this.fleet.advance(Duration.ofMillis(100));
 		Truth.assertThat(slots()).isLessThan(8);
@@ -69,9 +68,8 @@
 	@ParameterizedTest
 	@CsvSource({ "5, 2, 6", "5, 1, 8", "4, 9, 8", "6, 1, 6" })
 	void onlyLaterGrantsOfTheSameOrALaterEpochApply(long epoch, long number, int slots) {
-		// Symptom: two owners' grants add up. Sequence: a paused owner's grant arrives
-		// after
-		// the new owner's. Cause: the last message wins.
+		// Guards against the grants of two owners adding up: the grant of a paused
+		// owner arrives after the new owner's and must not replace it.
 		grant(millis(), 5, 1, 8);
 		grant(millis(), epoch, number, 6);
 		Truth.assertThat(slots()).isEqualTo(slots);
@@ -93,24 +91,24 @@
 	}
 
 	@Test
-	void firstRequestWaitsShortlyForTheOwnerAndThenStartsWithoutIt() {
+	void firstRequestWaitsBrieflyForTheOwnerAndThenStartsWithoutIt() {
 		slots();
 		grant(millis(), 5, 1, 4);
 		this.fleet.advance(Duration.ofMinutes(3));
-		List<Integer> seen = new ArrayList<>();
-		this.pool.onRoom(() -> seen.add(slots()));
+		List<Integer> observedSlots = new ArrayList<>();
+		this.pool.onRoom(() -> observedSlots.add(slots()));
 		Truth.assertThat(slots()).isEqualTo(0);
 		this.fleet.advance(Duration.ofMillis(60));
-		Truth.assertThat(seen).containsExactly(1);
+		Truth.assertThat(observedSlots).containsExactly(1);
 	}
 
 	@Test
-	void refusedWorkIsAskedForAtOnceButNotWithEveryRefusal() {
+	void refusedPermitsSendDemandsAtALimitedRate() {
 		grant(millis(), 5, 1, 1);
-		this.fleet.daemon("vm-1").take("e1", 0);
+		this.fleet.daemon("vm-1").tryAcquire("e1", 0);
 		this.demands.clear();
 		for (int i = 0; i < 200; i++) {
-			this.fleet.daemon("vm-1").take("e1", 0);
+			this.fleet.daemon("vm-1").tryAcquire("e1", 0);
 			this.fleet.advance(Duration.ofMillis(5));
 		}
 		Truth.assertThat(this.demands.size()).isAtLeast(4);
@@ -118,7 +116,7 @@
 	}
 
 	@Test
-	void closingAPermitTwiceGivesItBackOnce() {
+	void closingAPermitTwiceReleasesItOnce() {
 		grant(millis(), 5, 1, 2);
 		Permit first = this.pool.acquire(EndpointFleet.id("e1"), 0, 5).orElseThrow();
 		this.pool.acquire(EndpointFleet.id("e1"), 0, 5).orElseThrow();
@@ -146,7 +144,7 @@
 	}
 
 	private int slots() {
-		return this.fleet.daemon("vm-1").slotsLeft("e1");
+		return this.fleet.daemon("vm-1").availableSlots("e1");
 	}
 
 }
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/GroupReservationTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/GroupReservationTests.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Prompts larger than one engine beside short work.
+ * Reservations for prompts larger than one engine, concurrent with short requests.
  */
 class GroupReservationTests {
 
@@ -24,13 +24,13 @@
 	private int requests;
 
 	@BeforeEach
-	void learnCapacities() {
-		this.fleet.daemons().forEach((daemon) -> daemon.slotsLeft("e1"));
+	void fetchReports() {
+		this.fleet.daemons().forEach((daemon) -> daemon.availableSlots("e1"));
 		this.fleet.advance(Duration.ofSeconds(1));
 	}
 
 	@Test
-	void holdsTheWholeAmountOnAGroupAndGivesItBack() {
+	void holdsTheWholeAmountOnAGroupAndReleasesIt() {
 		Reservations.Reservation reservation = reserve("vm-1", 2_100_000);
 		this.fleet.advance(Duration.ofSeconds(2));
 		Truth.assertThat(this.events).containsExactly("reserved 2100000");
@@ -41,10 +41,10 @@
 	}
 
 	@Test
-	void namesHoldsSoThatTheyFitIntoAPath() {
-		// Symptom: no prompt larger than one engine is ever served; engines refuse each
-		// hold. Sequence: a hold is taken over HTTP. Cause: a slash in the hold's id,
-		// which the engine reads as another path.
+	void holdIdsAreValidAsUrlPathSegments() {
+		// Guards against hold ids with a slash. In an HTTP path the engine reads the
+		// slash as part of another path and refuses every hold, so that no prompt
+		// larger than one engine is served.
 		this.fleet.daemon("vm-1").reservations.reserve(RequestId.parse("vm-1~1~path"), EndpointFleet.SERVICE,
 				EndpointFleet.MODEL, 2_100_000, WITHIN,
 				(group) -> group.forEach((member) -> this.events.add(member.hold())), (failure) -> {
@@ -55,14 +55,14 @@
 	}
 
 	@Test
-	void keepsHoldsWhileInUseForLongerThanAnyOfTheirLifetimes() {
+	void holdsInUseAreRenewedBeyondTheirLifetimes() {
 		reserve("vm-1", 2_100_000);
 		this.fleet.advance(Duration.ofMinutes(3));
 		Truth.assertThat(heldKv()).isEqualTo(2_100_000);
 	}
 
 	@Test
-	void failsWithNothingHeldWhenMemoryCannotBeHadInTime() {
+	void failsAndHoldsNothingWhenMemoryIsNotAvailableInTime() {
 		reserve("vm-1", 2_500_000);
 		this.fleet.advance(Duration.ofSeconds(2));
 		reserve("vm-2", 2_500_000);
@@ -72,11 +72,10 @@
 	}
 
 	@Test
-	void twoThatNeedTheSameEnginesBothFinish() {
-		// Symptom: two manuals wait for each other until both time out, and the memory
-		// they hold is of no use. Sequence: one holds e1 and waits for e3, the other
-		// holds
-		// e3 and waits for e1. Cause: engines taken in different orders.
+	void reservationsOfTheSameEnginesDoNotDeadlock() {
+		// Guards against a deadlock from reserving engines in different orders: one
+		// reservation holds e1 and waits for e3, the other holds e3 and waits for e1,
+		// until both time out.
 		Reservations.Reservation first = reserve("vm-1", 2_400_000);
 		Reservations.Reservation second = reserve("vm-2", 2_400_000);
 		this.fleet.advance(Duration.ofSeconds(5));
@@ -89,36 +88,37 @@
 	}
 
 	@Test
-	void collectsItsMemoryWhileShortWorkGoesOn() {
-		// Symptom: a manual never starts although memory is freed all the time. Sequence:
-		// each freed piece is granted to the next short request. Cause: nothing collects.
-		keepBusy(300);
+	void collectsMemoryWhileShortRequestsContinue() {
+		// Guards against starvation of a large reservation: without collection, each
+		// freed amount of memory is granted to the next short request.
+		generateLoad(300);
 		this.fleet.advance(Duration.ofSeconds(5));
 		reserve("vm-1", 2_100_000);
-		int before = this.finished;
+		int finishedBefore = this.finished;
 		this.fleet.advance(Duration.ofSeconds(20));
 		Truth.assertThat(this.events).containsExactly("reserved 2100000");
-		Truth.assertThat(this.finished - before).isGreaterThan(40);
+		Truth.assertThat(this.finished - finishedBefore).isGreaterThan(40);
 	}
 
 	@Test
-	void shortWorkStartsWhileLongWorkDrains() {
-		// Symptom: notices stand still for minutes on an engine where a manual waits for
-		// its memory. Sequence: long summaries hold most of the memory; what is free goes
-		// to
-		// the manual. Cause: nothing is kept for short work.
-		EndpointFleet.Daemon summaries = this.fleet.daemon("vm-2");
+	void shortRequestsStartWhileLongRequestsDrain() {
+		// Guards against short requests stalling for minutes on an engine where a
+		// reservation waits for its memory: long requests hold most of the memory, and
+		// without a part kept for short requests all freed memory goes to the
+		// reservation.
+		EndpointFleet.Daemon longRequests = this.fleet.daemon("vm-2");
 		for (int i = 0; i < 100; i++) {
-			summaries.pool.wanted(EndpointFleet.SERVICE, EndpointFleet.MODEL, 100_000);
-			List.of("e1", "e2", "e3").forEach((endpoint) -> summaries.run(endpoint, 100_000, Duration.ofSeconds(30)));
+			longRequests.pool.wanted(EndpointFleet.SERVICE, EndpointFleet.MODEL, 100_000);
+			List.of("e1", "e2", "e3")
+				.forEach((endpoint) -> longRequests.tryRun(endpoint, 100_000, Duration.ofSeconds(30)));
 			this.fleet.advance(Duration.ofMillis(20));
 		}
 		reserve("vm-1", 2_400_000);
 		this.fleet.advance(Duration.ofSeconds(5));
-		EndpointFleet.Daemon notices = this.fleet.daemon("vm-3");
+		EndpointFleet.Daemon shortRequests = this.fleet.daemon("vm-3");
 		int started = 0;
 		for (int i = 0; i < 100; i++) {
-			started += notices.run("e1", 20_000, Duration.ofMillis(500)) ? 1 : 0;
+			started += shortRequests.tryRun("e1", 20_000, Duration.ofMillis(500)) ? 1 : 0;
 			this.fleet.advance(Duration.ofMillis(100));
 		}
 		Truth.assertThat(started).isAtLeast(15);
@@ -128,12 +128,13 @@
 	}
 
 	@Test
-	void backfillDoesNotKeepAReservationFromItsMemory() {
-		// Symptom: a manual waits until it times out. Sequence: whenever a summary ends,
-		// the next takes its place. Cause: what is kept for short work isn't bounded.
+	void backfillDoesNotStarveAReservation() {
+		// Guards against a reservation waiting until it times out: if the part kept
+		// for short requests isn't bounded, each request that ends is replaced by the
+		// next.
 		for (int i = 0; i < 400; i++) {
 			for (EndpointFleet.Daemon daemon : this.fleet.daemons()) {
-				List.of("e1", "e2", "e3").forEach((endpoint) -> daemon.run(endpoint, 20_000, Duration.ofSeconds(8)));
+				List.of("e1", "e2", "e3").forEach((endpoint) -> daemon.tryRun(endpoint, 20_000, Duration.ofSeconds(8)));
 			}
 			this.fleet.advance(Duration.ofMillis(100));
 			if (i == 100) {
@@ -144,38 +145,36 @@
 	}
 
 	@Test
-	void enginesAreTakenInOneOrderWhateverTheirLoadWasWhenPlanned() {
-		// Symptom: two manuals hold an engine each and wait for the other's until both
-		// time
-		// out. Sequence: both engines are busy; one manual is planned when e1 has more
-		// room,
-		// the other when e2 has; both engines become free. Cause: each takes the emptier
-		// engine first.
+	void enginesAreReservedInAFixedOrderRegardlessOfLoad() {
+		// Guards against a deadlock from reserving the engine with the most free
+		// memory first: both engines are busy, one reservation is planned while e1 has
+		// more, the other while e2 has more; when both engines become free, each
+		// reservation holds one engine and waits for the other until both time out.
 		this.fleet.engines.engine("e3").kvCapacity = 1_000;
-		use(400_000, 500_000);
+		setKvUsed(400_000, 500_000);
 		Reservations.Reservation first = reserve("vm-1", 1_500_000);
 		this.fleet.advance(Duration.ofSeconds(5));
-		use(500_000, 400_000);
+		setKvUsed(500_000, 400_000);
 		Reservations.Reservation second = reserve("vm-2", 1_500_000);
 		this.fleet.advance(Duration.ofSeconds(5));
-		use(0, 0);
+		setKvUsed(0, 0);
 		Truth.assertThat(this.events).hasSize(1);
 		first.close();
 		second.close();
 	}
 
-	private void use(long first, long second) {
+	private void setKvUsed(long first, long second) {
 		this.fleet.engines.engine("e1").kvUsed = first;
 		this.fleet.engines.engine("e2").kvUsed = second;
-		this.fleet.daemons().forEach((daemon) -> daemon.slotsLeft("e1"));
+		this.fleet.daemons().forEach((daemon) -> daemon.availableSlots("e1"));
 		this.fleet.advance(Duration.ofSeconds(6));
 	}
 
 	@Test
-	void givesUpAnEngineThatLeavesWhileItWaitsForAnother() {
-		// Symptom: an engine gets a manual to compute seconds after it announced to stop.
-		// Sequence: e1 holds its part, the request waits for e2, meanwhile e1 announces
-		// to stop, then e2 has room. Cause: a group once planned was not looked at again.
+	void releasesAnEngineThatStartsLeavingWhileWaitingForAnother() {
+		// Guards against sending a prompt to an engine seconds after it announced that
+		// it will stop: e1 holds its part and the request waits for e2; e1 announces
+		// to stop, then e2 has enough memory. The planned group must be checked again.
 		List<String> group = new ArrayList<>();
 		EndpointFleet.Daemon daemon = this.fleet.daemon("vm-1");
 		this.fleet.engines.engine("e2").kvUsed = 900_000;
@@ -195,14 +194,14 @@
 
 	private int finished;
 
-	private void keepBusy(int rounds) {
+	private void generateLoad(int rounds) {
 		for (EndpointFleet.Daemon daemon : this.fleet.daemons()) {
 			for (String endpoint : List.of("e1", "e2", "e3")) {
-				this.finished += daemon.run(endpoint, 100_000, Duration.ofSeconds(1)) ? 1 : 0;
+				this.finished += daemon.tryRun(endpoint, 100_000, Duration.ofSeconds(1)) ? 1 : 0;
 			}
 		}
 		if (rounds > 0) {
-			this.fleet.scheduler.schedule(Duration.ofMillis(100), () -> keepBusy(rounds - 1));
+			this.fleet.scheduler.schedule(Duration.ofMillis(100), () -> generateLoad(rounds - 1));
 		}
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/MemoryRecoveryTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/MemoryRecoveryTests.java
@@ -10,7 +10,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Whatever happens to a reservation, all memory is free again within a stated time.
+ * Reserved memory is released within a fixed time under all faults of holders, owners,
+ * engines and the platform.
  */
 class MemoryRecoveryTests {
 
@@ -24,18 +25,17 @@
 
 	@ParameterizedTest
 	@EnumSource
-	void memoryIsFreeAgainWithinTheStatedTime(Fault fault) {
-		// Symptom: engines show memory in use that no request has, until they restart.
-		// Sequence: a reservation is made and one of the faults strikes. Cause: nobody
-		// who
-		// still runs knows that the memory should be released.
-		this.fleet.daemons().forEach((daemon) -> daemon.slotsLeft("e1"));
+	void memoryIsReleasedWithinTheBoundOfTheFault(Fault fault) {
+		// Guards against leaked holds: a fault occurs after a reservation is made, and
+		// no running process knows that the memory should be released. The engine then
+		// shows memory in use without a request until it restarts.
+		this.fleet.daemons().forEach((daemon) -> daemon.availableSlots("e1"));
 		this.fleet.advance(Duration.ofSeconds(1));
 		String holder = holder();
 		reserve(holder);
-		this.fleet.advance(fault.beforeFault);
-		fault.strike(this, holder);
-		this.fleet.advance(fault.freeWithin);
+		this.fleet.advance(fault.delay);
+		fault.inject(this, holder);
+		this.fleet.advance(fault.freedWithin);
 		Truth.assertThat(heldKv()).isEqualTo(0);
 		this.events.clear();
 		this.fleet.advance(Duration.ofSeconds(4));
@@ -44,7 +44,7 @@
 		Truth.assertThat(this.events).containsExactly("reserved");
 	}
 
-	/** A daemon that owns none of the engines, so that its death changes no owner. */
+	/** Returns a daemon that owns no engine, so that its crash changes no owner. */
 	private String holder() {
 		List<String> owners = ENGINES.stream().map(this.fleet::owner).toList();
 		return this.fleet.daemons()
@@ -66,78 +66,78 @@
 		return ENGINES.stream().mapToLong((endpoint) -> this.fleet.engines.engine(endpoint).heldKv()).sum();
 	}
 
-	private void forgetHolder(String holder) {
+	private void killHolder(String holder) {
 		this.fleet.kill(holder);
 	}
 
 	/**
-	 * What strikes, when, and within which time the memory is free.
+	 * A fault, when it occurs, and the time within which the memory must be free.
 	 */
 	enum Fault {
 
-		HOLDER_DIES_BETWEEN_RESERVE_AND_USE(Duration.ofMillis(7), HoldTimes.FREED_BY_OWNER) {
+		HOLDER_CRASHES_BETWEEN_RESERVE_AND_USE(Duration.ofMillis(7), HoldTimes.MAX_RETENTION_WITH_OWNER) {
 			@Override
-			void strike(MemoryRecoveryTests test, String holder) {
-				test.forgetHolder(holder);
+			void inject(MemoryRecoveryTests test, String holder) {
+				test.killHolder(holder);
 			}
 		},
 
-		HOLDER_DIES_IN_USE(Duration.ofSeconds(20), HoldTimes.FREED_BY_OWNER) {
+		HOLDER_CRASHES_IN_USE(Duration.ofSeconds(20), HoldTimes.MAX_RETENTION_WITH_OWNER) {
 			@Override
-			void strike(MemoryRecoveryTests test, String holder) {
-				test.forgetHolder(holder);
+			void inject(MemoryRecoveryTests test, String holder) {
+				test.killHolder(holder);
 			}
 		},
 
-		RELEASE_TO_THE_OWNER_IS_LOST(Duration.ofSeconds(20), HoldTimes.FREED_BY_OWNER) {
+		RELEASE_TO_THE_OWNER_IS_LOST(Duration.ofSeconds(20), HoldTimes.MAX_RETENTION_WITH_OWNER) {
 			@Override
-			void strike(MemoryRecoveryTests test, String holder) {
-				test.fleet.network().cut(test.fleet.daemon(holder).incarnation.vm());
+			void inject(MemoryRecoveryTests test, String holder) {
+				test.fleet.network().partition(test.fleet.daemon(holder).incarnation.vm());
 				test.reservation.close();
 				test.fleet.network().heal(test.fleet.daemon(holder).incarnation.vm());
 			}
 		},
 
-		RELEASE_AT_THE_ENGINE_IS_LOST(Duration.ofSeconds(20), HoldTimes.FREED_BY_OWNER) {
+		RELEASE_AT_THE_ENGINE_IS_LOST(Duration.ofSeconds(20), HoldTimes.MAX_RETENTION_WITH_OWNER) {
 			@Override
-			void strike(MemoryRecoveryTests test, String holder) {
-				ENGINES.forEach((engine) -> test.fleet.engines.engine(engine).releasesLost = 1);
+			void inject(MemoryRecoveryTests test, String holder) {
+				ENGINES.forEach((engine) -> test.fleet.engines.engine(engine).releasesToFail = 1);
 				test.reservation.close();
 			}
 		},
 
-		HOLDER_AND_OWNERS_DIE_TOGETHER(Duration.ofSeconds(20), HoldTimes.FREED_ALWAYS) {
+		HOLDER_AND_OWNERS_CRASH_TOGETHER(Duration.ofSeconds(20), HoldTimes.FREED_ALWAYS) {
 			@Override
-			void strike(MemoryRecoveryTests test, String holder) {
+			void inject(MemoryRecoveryTests test, String holder) {
 				List<String> owners = ENGINES.stream().map(test.fleet::owner).distinct().toList();
 				owners.forEach(test.fleet::kill);
 				test.fleet.kill(holder);
 			}
 		},
 
-		HOLDER_AND_OWNERS_DIE_WHILE_THE_PLATFORM_IS_DOWN(Duration.ofSeconds(20), HoldTimes.FREED_ALWAYS) {
+		HOLDER_AND_OWNERS_CRASH_DURING_PLATFORM_OUTAGE(Duration.ofSeconds(20), HoldTimes.FREED_ALWAYS) {
 			@Override
-			void strike(MemoryRecoveryTests test, String holder) {
+			void inject(MemoryRecoveryTests test, String holder) {
 				List<String> owners = ENGINES.stream().map(test.fleet::owner).distinct().toList();
-				test.fleet.leases().outage();
+				test.fleet.leases().startOutage();
 				owners.forEach(test.fleet::kill);
 				test.fleet.kill(holder);
-				test.fleet.scheduler.schedule(HoldTimes.FREED_ALWAYS, test.fleet.leases()::recovered);
+				test.fleet.scheduler.schedule(HoldTimes.FREED_ALWAYS, test.fleet.leases()::endOutage);
 			}
 		},
 
-		HOLDER_DIES_WHILE_THE_PLATFORM_IS_DOWN(Duration.ofSeconds(20), HoldTimes.FREED_ALWAYS) {
+		HOLDER_CRASHES_DURING_PLATFORM_OUTAGE(Duration.ofSeconds(20), HoldTimes.FREED_ALWAYS) {
 			@Override
-			void strike(MemoryRecoveryTests test, String holder) {
-				test.fleet.leases().outage();
+			void inject(MemoryRecoveryTests test, String holder) {
+				test.fleet.leases().startOutage();
 				test.fleet.kill(holder);
-				test.fleet.scheduler.schedule(HoldTimes.FREED_ALWAYS, test.fleet.leases()::recovered);
+				test.fleet.scheduler.schedule(HoldTimes.FREED_ALWAYS, test.fleet.leases()::endOutage);
 			}
 		},
 
-		OWNER_DIES_AND_THE_HOLDER_GIVES_BACK(Duration.ofSeconds(20), HoldTimes.FREED_BY_OWNER) {
+		OWNER_CRASHES_AND_HOLDER_RELEASES(Duration.ofSeconds(20), HoldTimes.MAX_RETENTION_WITH_OWNER) {
 			@Override
-			void strike(MemoryRecoveryTests test, String holder) {
+			void inject(MemoryRecoveryTests test, String holder) {
 				test.fleet.kill(test.fleet.owner("e1"));
 				test.reservation.close();
 			}
@@ -145,22 +145,22 @@
 
 		ENGINES_RESTART(Duration.ofSeconds(20), Duration.ofSeconds(6)) {
 			@Override
-			void strike(MemoryRecoveryTests test, String holder) {
+			void inject(MemoryRecoveryTests test, String holder) {
 				ENGINES.forEach((engine) -> test.fleet.engines.engine(engine).restart());
 				test.reservation.close();
 			}
 		};
 
-		private final Duration beforeFault;
+		private final Duration delay;
 
-		private final Duration freeWithin;
+		private final Duration freedWithin;
 
-		Fault(Duration beforeFault, Duration freeWithin) {
-			this.beforeFault = beforeFault;
-			this.freeWithin = freeWithin;
+		Fault(Duration delay, Duration freedWithin) {
+			this.delay = delay;
+			this.freedWithin = freedWithin;
 		}
 
-		abstract void strike(MemoryRecoveryTests test, String holder);
+		abstract void inject(MemoryRecoveryTests test, String holder);
 
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/ShardMapTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/ShardMapTests.java
@@ -21,36 +21,36 @@
 
 class ShardMapTests {
 
-	private static final DataCentre HERE = new DataCentre("rawang");
+	private static final DataCentre LOCAL = new DataCentre("rawang");
 
-	private static final DataCentre ELSEWHERE = new DataCentre("semenyih");
+	private static final DataCentre REMOTE = new DataCentre("semenyih");
 
 	@ParameterizedTest
 	@CsvSource({ "1, 1", "3, 2", "4, 4", "7, 4", "68, 64" })
 	void aDataCentreHasAboutAsManyShardsAsDaemons(int vms, int shards) {
-		Truth.assertThat(map(vms, HERE).shards(HERE)).hasSize(shards);
+		Truth.assertThat(map(vms, LOCAL).shards(LOCAL)).hasSize(shards);
 	}
 
 	@Test
-	void codesAreReadBack() {
-		for (Shard shard : map(68, HERE).shards(HERE)) {
-			Truth.assertThat(Shard.of(HERE, shard.code())).isEqualTo(shard);
+	void shardsAreRestoredFromTheirCodes() {
+		for (Shard shard : map(68, LOCAL).shards(LOCAL)) {
+			Truth.assertThat(Shard.of(LOCAL, shard.code())).isEqualTo(shard);
 		}
 	}
 
 	@Test
 	void endpointsOfADataCentreWithoutDaemonsAreOwnedElsewhere() {
-		Truth.assertThat(map(3, ELSEWHERE).owner(endpoint(1))).isPresent();
+		Truth.assertThat(map(3, REMOTE).owner(endpoint(1))).isPresent();
 		Truth.assertThat(new ShardMap(register(3), List.of()).owner(endpoint(1))).isEmpty();
 	}
 
 	@Test
-	void theLossOfADaemonMovesOnlyWhatItOwned() {
-		List<Member> all = members(9, HERE);
+	void removalOfADaemonMovesOnlyItsShards() {
+		List<Member> all = members(9, LOCAL);
 		ShardMap before = new ShardMap(register(9), all);
 		ShardMap after = new ShardMap(register(9), all.subList(1, 9));
 		Map<Boolean, Integer> moved = new HashMap<>();
-		for (Shard shard : before.shards(HERE)) {
+		for (Shard shard : before.shards(LOCAL)) {
 			boolean lost = before.owner(shard).orElseThrow().equals(all.get(0).vm());
 			boolean same = before.owner(shard).equals(after.owner(shard));
 			moved.merge(lost == !same, 1, Integer::sum);
@@ -63,7 +63,7 @@
 	}
 
 	private static Register register(int vms) {
-		List<VmEntry> entries = IntStream.range(0, vms).mapToObj((i) -> new VmEntry(vm(i), HERE)).toList();
+		List<VmEntry> entries = IntStream.range(0, vms).mapToObj((i) -> new VmEntry(vm(i), LOCAL)).toList();
 		return new Register(entries, List.of(), List.of(), List.of(endpoint(1)));
 	}
 
@@ -78,7 +78,7 @@
 	}
 
 	private static EndpointEntry endpoint(int number) {
-		return new EndpointEntry(new EndpointId("e" + number), new ServiceName("s"), HERE, "a:1", List.of(), true,
+		return new EndpointEntry(new EndpointId("e" + number), new ServiceName("s"), LOCAL, "a:1", List.of(), true,
 				false);
 	}
 
