--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EndpointAccount.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EndpointAccount.java
@@ -10,51 +10,56 @@
 import org.bramleyscale.internal.endpoint.OwnerlessShare;
 
 /**
- * The exact account of one endpoint: what each entry may use, and what is held.
+ * Accounts for the capacity of one endpoint: what each entry may use and what is held for
+ * reservations.
  *
  * <p>
- * Invariant: what entries may have in flight plus what is held is never raised above the
- * reported capacity. Exceptions, each bounded: one slot for an entry that was never heard
- * or is cut off, and shares of a former owner's grants that outlive the wait of a new
- * owner. Confined to the scheduler's thread.
+ * Invariant: the sum of what entries may have in flight and what is held is never raised
+ * above the reported capacity. There are two bounded exceptions: one slot for an entry
+ * that has never contacted this owner or is partitioned from it, and shares of a former
+ * owner's grants that outlive the new owner's waiting period. Confined to the scheduler's
+ * thread.
  */
 final class EndpointAccount {
 
-	/** A change of memory below this part of the capacity isn't pushed. */
-	private static final int WORTHWHILE_PARTS = 64;
+	/**
+	 * A decrease of a memory grant is pushed only if it exceeds the capacity divided by
+	 * this number.
+	 */
+	private static final int MIN_PUSHED_CHANGE_DIVISOR = 64;
 
-	private final UnknownUse unknown = new UnknownUse();
+	private final UnattributedUse unattributed = new UnattributedUse();
 
-	private final EntryAccounts entries = new EntryAccounts(this.unknown::entryForgotten);
+	private final EntryAccounts entries = new EntryAccounts(this.unattributed::entryRemoved);
 
-	private final HoldingShare holding = new HoldingShare();
+	private final ReservedShare reservedShare = new ReservedShare();
 
 	private final Amount floor;
 
-	private final long settledAt;
+	private final long formerGrantsExpiry;
 
 	private final long epoch;
 
 	private LoadReport report;
 
-	private int equalEntries = 1;
+	private int sharingEntries = 1;
 
 	private int members = Integer.MAX_VALUE;
 
-	private int cutOff;
+	private int unresponsiveEntries;
 
 	private long lastNumber;
 
 	/**
-	 * Opens an account.
+	 * Creates an account without entries.
 	 * @param epoch the owner's epoch
-	 * @param floor what a cut-off entry may always use
-	 * @param settledAt when all grants of a former owner have expired
+	 * @param floor what a partitioned entry may always use
+	 * @param formerGrantsExpiry when all grants of a former owner have expired
 	 */
-	EndpointAccount(long epoch, Amount floor, long settledAt) {
+	EndpointAccount(long epoch, Amount floor, long formerGrantsExpiry) {
 		this.epoch = epoch;
 		this.floor = floor;
-		this.settledAt = settledAt;
+		this.formerGrantsExpiry = formerGrantsExpiry;
 	}
 
 	EntryAccounts entries() {
@@ -70,154 +75,157 @@
 	}
 
 	Amount held() {
-		return this.holding.held();
+		return this.reservedShare.held();
 	}
 
 	/**
-	 * The number of the collection of memory under way.
+	 * Returns the number of the memory collection in progress.
 	 * @return the number; 0 if there is none
 	 */
 	int collection() {
-		return this.holding.collection();
+		return this.reservedShare.collection();
 	}
 
-	Amount unknownUse() {
-		return this.unknown.amount(knownUse());
+	Amount unattributedUse() {
+		return this.unattributed.amount(knownUse());
 	}
 
 	/**
-	 * Sets how many daemons there are.
-	 * @param sharing how many entries use the endpoint
-	 * @param live how many daemons may hold grants of a former owner
+	 * Sets the numbers of daemons that may use the endpoint or hold grants for it.
+	 * @param sharing how many entries share the endpoint
+	 * @param live how many daemons may still hold grants of a former owner
 	 */
 	void members(int sharing, int live) {
-		this.equalEntries = sharing;
+		this.sharingEntries = sharing;
 		this.members = live;
 	}
 
 	/**
-	 * Sets how many entries without an account are cut off and use their equal split.
-	 * @param entries the number
+	 * Sets how many entries without an account are unresponsive and may use their equal
+	 * split.
+	 * @param entries the number of such entries
 	 */
-	void cutOff(int entries) {
-		this.cutOff = entries;
+	void unresponsiveEntries(int entries) {
+		this.unresponsiveEntries = entries;
 	}
 
 	/**
-	 * Sets what is held for reservations.
+	 * Sets the capacity held for reservations.
 	 * @param amount memory and slots held
 	 * @param needed what a waiting reservation still needs
 	 */
 	void hold(Amount amount, Amount needed) {
-		this.holding.set(amount, needed);
+		this.reservedShare.set(amount, needed);
 	}
 
 	/**
-	 * The most that may ever be held, so that short work always has a part.
+	 * Returns the most that may ever be held, so that short requests always keep a part.
 	 * @return the amount; nothing if the capacity is unknown
 	 */
 	Amount holdable() {
-		return this.holding.holdable(capacity());
+		return this.reservedShare.holdable(capacity());
 	}
 
 	/**
-	 * Whether an amount could be held now without any entry losing what it may use.
+	 * Returns whether an amount could be held now without reducing what any entry may
+	 * use.
 	 * @param amount the amount
 	 * @param now the time
 	 * @return true if it is free
 	 */
 	boolean free(Amount amount, long now) {
-		return this.report != null && !unsettled(now) && amount.within(spare(now));
+		return this.report != null && !formerGrantsPending(now) && amount.within(unallocated(now));
 	}
 
 	/**
-	 * Takes in a report. A report of a new boot means that nothing of the former boot is
-	 * at work any more.
-	 * @param newer the report
+	 * Processes a load report. A report with a new boot number means that no work of the
+	 * former boot is left.
+	 * @param latest the report
 	 */
-	void reported(LoadReport newer) {
-		boolean rebooted = this.report != null && this.report.boot() != newer.boot();
-		this.report = newer;
-		if (rebooted) {
-			this.unknown.clear();
+	void reportReceived(LoadReport latest) {
+		boolean restarted = this.report != null && this.report.boot() != latest.boot();
+		this.report = latest;
+		if (restarted) {
+			this.unattributed.clear();
 		}
-		Amount reported = new Amount(newer.running() + newer.waiting(), newer.kvUsed());
-		this.unknown.reported(reported, knownUse());
-		this.entries.all().forEach(EntryAccount::endpointReported);
+		Amount reported = new Amount(latest.running() + latest.waiting(), latest.kvUsed());
+		this.unattributed.reportReceived(reported, knownUse());
+		this.entries.all().forEach(EntryAccount::endpointReportReceived);
 	}
 
 	/**
-	 * Takes in a demand.
+	 * Processes a demand.
 	 * @param from the entry
 	 * @param item the demand
 	 * @param sentMillis when the entry sent it, by its clock
 	 * @param lifetimeMillis the lifetime of grants to the entry
 	 * @param now the time
-	 * @return the entry's account, or null if the demand is out of date
+	 * @return the entry's account, or null if the demand is outdated
 	 */
-	EntryAccount demanded(Incarnation from, DemandItem item, long sentMillis, int lifetimeMillis, long now) {
+	EntryAccount demandReceived(Incarnation from, DemandItem item, long sentMillis, int lifetimeMillis, long now) {
 		EntryAccount account = this.entries.of(from);
-		boolean current = account != null && account.heard(item, sentMillis, lifetimeMillis, this.epoch, now);
+		boolean current = account != null && account.demandReceived(item, sentMillis, lifetimeMillis, this.epoch, now);
 		return current ? account : null;
 	}
 
 	/**
-	 * Forgets entries silent for too long, and those that want nothing once every grant
-	 * of a former owner has expired.
+	 * Removes the accounts of unresponsive entries and, once every grant of a former
+	 * owner has expired, those of entries that want nothing.
 	 * @param now the time
 	 */
 	void prune(long now) {
-		this.entries.forgetSilent(now);
-		if (now > this.settledAt) {
-			this.entries.forgetGone();
+		this.entries.removeUnresponsive(now);
+		if (now > this.formerGrantsExpiry) {
+			this.entries.removeUnused();
 		}
 	}
 
 	/**
-	 * What an entry is granted now.
+	 * Returns what an entry may be granted now.
 	 * @param entry the entry's account
 	 * @param now the time
-	 * @return the grant; at most what the other entries and the holds leave
+	 * @return the grant; limited by what the other entries and the holds leave free
 	 */
 	Amount grantable(EntryAccount entry, long now) {
 		if (this.report == null) {
 			return this.floor;
 		}
-		Amount granted = balance(now).grantable(entry);
-		return unsettled(now) ? granted.max(entry.takenOver()).max(this.floor) : granted;
+		Amount granted = targets(now).grantable(entry);
+		return formerGrantsPending(now) ? granted.max(entry.takenOver()).max(this.floor) : granted;
 	}
 
 	/**
-	 * Notes that a grant is sent.
+	 * Records a grant that is being sent.
 	 * @param entry the entry's account
 	 * @param amount the grant
 	 * @param now the time
 	 * @return the grant's number
 	 */
-	long granted(EntryAccount entry, Amount amount, long now) {
+	long grantSent(EntryAccount entry, Amount amount, long now) {
 		this.lastNumber++;
-		entry.granted(this.lastNumber, amount, now);
+		entry.grantSent(this.lastNumber, amount, now);
 		return this.lastNumber;
 	}
 
 	/**
-	 * The entries whose grant should change before they ask: those that hold more than
-	 * their fair share while another waits, and those that wait and could have more.
+	 * Returns the entries whose grant should change before their next demand: those that
+	 * hold more than their fair share while another entry waits, and those that wait and
+	 * could have more.
 	 * @param now the time
 	 * @return the accounts
 	 */
 	List<EntryAccount> unbalanced(long now) {
-		if (this.report == null || unsettled(now)) {
+		if (this.report == null || formerGrantsPending(now)) {
 			return List.of();
 		}
 		boolean starved = this.entries.all().stream().anyMatch((entry) -> entry.starved(entry.lastGrant()));
-		if (!starved && !this.holding.collects()) {
+		if (!starved && !this.reservedShare.collects()) {
 			return List.of();
 		}
-		Balance balance = balance(now);
+		GrantTargets targets = targets(now);
 		List<EntryAccount> result = new ArrayList<>();
-		for (EntryAccount entry : this.entries.wanting()) {
-			if (wantsPush(entry, balance.grantable(entry))) {
+		for (EntryAccount entry : this.entries.active()) {
+			if (wantsPush(entry, targets.grantable(entry))) {
 				result.add(entry);
 			}
 		}
@@ -225,17 +233,17 @@
 	}
 
 	/**
-	 * The sum of what all entries may have in flight.
+	 * Returns the sum of what all entries may have in flight.
 	 * @param now the time
 	 * @return the sum
 	 */
 	Amount committed(long now) {
-		Amount equal = OwnerlessShare.equalSplit(capacity(), this.equalEntries);
+		Amount equal = OwnerlessShare.equalSplit(capacity(), this.sharingEntries);
 		return this.entries.sum((entry) -> entry.bound(now, equal, this.floor));
 	}
 
 	/**
-	 * The sum of the live grants.
+	 * Returns the sum of the grants that have not expired.
 	 * @param now the time
 	 * @return the sum
 	 */
@@ -244,43 +252,45 @@
 	}
 
 	private Amount knownUse() {
-		return this.entries.sum(EntryAccount::toldPeak).plus(held());
+		return this.entries.sum(EntryAccount::declaredPeak).plus(held());
 	}
 
 	private boolean wantsPush(EntryAccount entry, Amount next) {
 		Amount last = entry.lastGrant();
-		long worthwhile = capacity().kvTokens() / WORTHWHILE_PARTS;
+		long minChange = capacity().kvTokens() / MIN_PUSHED_CHANGE_DIVISOR;
 		boolean grows = next.slots() > last.slots() || next.kvTokens() > last.kvTokens();
-		boolean shrinks = next.slots() < last.slots() || last.kvTokens() - next.kvTokens() > worthwhile;
+		boolean shrinks = next.slots() < last.slots() || last.kvTokens() - next.kvTokens() > minChange;
 		return shrinks || (grows && entry.starved(last));
 	}
 
-	private Balance balance(long now) {
-		List<EntryAccount> accounts = this.entries.wanting();
-		Amount equal = OwnerlessShare.equalSplit(capacity(), this.equalEntries);
+	private GrantTargets targets(long now) {
+		List<EntryAccount> accounts = this.entries.active();
+		Amount equal = OwnerlessShare.equalSplit(capacity(), this.sharingEntries);
 		List<Amount> bounds = new ArrayList<>(accounts.size());
 		for (EntryAccount account : accounts) {
 			bounds.add(account.bound(now, equal, this.floor));
 		}
-		Amount rest = capacity().minus(held()).minus(unknownUse());
-		Amount divisible = this.holding.divisible(capacity(), rest);
+		Amount rest = capacity().minus(held()).minus(unattributedUse());
+		Amount divisible = this.reservedShare.divisible(capacity(), rest);
 		long olderKv = accounts.stream().mapToLong((account) -> account.olderKv(collection())).sum();
-		Amount free = spare(now).min(divisible.plus(new Amount(0, olderKv)).minus(committed(now)));
-		return new Balance(accounts, bounds, divisible, free, collection());
+		Amount free = unallocated(now).min(divisible.plus(new Amount(0, olderKv)).minus(committed(now)));
+		return new GrantTargets(accounts, bounds, divisible, free, collection());
 	}
 
-	private Amount spare(long now) {
-		Amount kept = unheard(now).max(OwnerlessShare.equalSplit(capacity(), this.equalEntries).times(this.cutOff));
-		return capacity().minus(held()).minus(unknownUse()).minus(committed(now)).minus(kept);
+	private Amount unallocated(long now) {
+		Amount reserve = unclaimedFormerGrants(now)
+			.max(OwnerlessShare.equalSplit(capacity(), this.sharingEntries).times(this.unresponsiveEntries));
+		return capacity().minus(held()).minus(unattributedUse()).minus(committed(now)).minus(reserve);
 	}
 
-	private boolean unsettled(long now) {
-		return now < this.settledAt && this.entries.all().size() < this.members;
+	private boolean formerGrantsPending(long now) {
+		return now < this.formerGrantsExpiry && this.entries.all().size() < this.members;
 	}
 
-	// What entries that this owner hasn't heard yet may hold from its predecessor.
-	private Amount unheard(long now) {
-		if (!unsettled(now)) {
+	// Returns what entries that have not yet contacted this owner may hold from its
+	// predecessor.
+	private Amount unclaimedFormerGrants(long now) {
+		if (!formerGrantsPending(now)) {
 			return Amount.NONE;
 		}
 		return capacity().minus(this.entries.sum(EntryAccount::takenOver)).max(Amount.NONE);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EndpointOwner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EndpointOwner.java
@@ -27,14 +27,14 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Owns the shards of endpoints that rendezvous hashing and a lease give to this daemon,
- * and splits each endpoint's capacity among the entries that use it.
+ * Owns the endpoint shards that rendezvous hashing and a lease assign to this daemon, and
+ * divides each endpoint's capacity among the entries that use it.
  *
  * <p>
  * Invariant: at most one owner of a shard holds its lease. An owner whose lease lapses,
- * for example because the platform is down, goes on granting until it hears of a greater
- * epoch, since grants are not orders and entries ignore those of an older epoch. Confined
- * to the scheduler's thread.
+ * for example because the platform is down, continues to grant until it learns of a
+ * greater epoch. This is safe because grants are not orders and entries ignore grants of
+ * an older epoch. Confined to the scheduler's thread.
  */
 public final class EndpointOwner implements StateDump {
 
@@ -52,17 +52,17 @@
 
 	private final EndpointSettings settings;
 
-	private final ShardLeases owned;
+	private final ShardLeases shardLeases;
 
 	private final OwnedEndpoints endpoints;
 
-	private final EntryMessages messages;
+	private final EntryMessageHandler messages;
 
 	private ShardMap shards;
 
-	private Cancellable ticking;
+	private Cancellable tickTask;
 
-	private Cancellable announcing;
+	private Cancellable announceTask;
 
 	private boolean stopped;
 
@@ -72,11 +72,12 @@
 		this.membership = builder.membership;
 		this.peers = builder.peers;
 		this.settings = builder.settings;
-		this.owned = new ShardLeases(builder.leases, this.membership, this.peers, this::settledAt, new Opening());
-		this.endpoints = new OwnedEndpoints(builder, this.owned::held);
-		this.messages = new EntryMessages(this.endpoints, this.owned, this.peers, this.settings, this::redirect,
-				builder.metrics.counter("endpoint.owner.demands"));
-		builder.metrics.gauge("endpoint.owner.shards", () -> () -> this.owned.owned().size());
+		this.shardLeases = new ShardLeases(builder.leases, this.membership, this.peers, this::formerGrantsExpiry,
+				new ShardOpener());
+		this.endpoints = new OwnedEndpoints(builder, this.shardLeases::held);
+		this.messages = new EntryMessageHandler(this.endpoints, this.shardLeases, this.peers, this.settings,
+				this::redirect, builder.metrics.counter("endpoint.owner.demands"));
+		builder.metrics.gauge("endpoint.owner.shards", () -> () -> this.shardLeases.owned().size());
 	}
 
 	public static Builder builder() {
@@ -84,26 +85,26 @@
 	}
 
 	/**
-	 * Begins to seek shards and to answer demands.
+	 * Starts acquiring the leases of shards and answering demands.
 	 */
 	public void start() {
 		this.messages.listen();
-		this.peers.listen(OwnerAnnounced.class, this.owned::announced);
+		this.peers.listen(OwnerAnnounced.class, this.shardLeases::announced);
 		this.configuration.onChange((version) -> reassign());
 		this.membership.onChange(this::reassign);
-		this.ticking = this.scheduler.repeat(TICK, this.endpoints::tick);
-		this.announcing = this.scheduler.repeat(ANNOUNCE_PERIOD, this.owned::announceAgain);
+		this.tickTask = this.scheduler.repeat(TICK, this.endpoints::tick);
+		this.announceTask = this.scheduler.repeat(ANNOUNCE_PERIOD, this.shardLeases::reannounce);
 		reassign();
 	}
 
 	/**
-	 * Gives all shards back.
+	 * Stops granting and releases the leases of all shards.
 	 */
 	public void stop() {
 		this.stopped = true;
-		this.ticking.cancel();
-		this.announcing.cancel();
-		this.owned.seek(Map.of());
+		this.tickTask.cancel();
+		this.announceTask.cancel();
+		this.shardLeases.seek(Map.of());
 	}
 
 	@Override
@@ -113,7 +114,7 @@
 
 	@Override
 	public Object dump() {
-		return OwnerDump.of(this.owned.owned(), this.endpoints.all(), this.scheduler.nanos());
+		return OwnerDump.of(this.shardLeases.owned(), this.endpoints.all(), this.scheduler.nanos());
 	}
 
 	private void reassign() {
@@ -122,28 +123,28 @@
 		}
 		Configuration current = this.configuration.current();
 		this.shards = new ShardMap(current.register(), this.membership.eligible());
-		this.owned.seek(assigned(current));
+		this.shardLeases.seek(assigned(current));
 		this.endpoints.closeIf((endpoint) -> current.endpoint(endpoint.entry().name()).isEmpty());
-		List.copyOf(this.owned.owned()).forEach(this::open);
+		List.copyOf(this.shardLeases.owned()).forEach(this::open);
 	}
 
 	private Map<String, Shard> assigned(Configuration current) {
-		Map<String, Shard> mine = new HashMap<>();
+		Map<String, Shard> shardsByLease = new HashMap<>();
 		VmId self = this.membership.self().vm();
 		for (EndpointEntry endpoint : current.register().endpoints()) {
 			Shard shard = this.shards.shard(endpoint);
 			if (this.shards.owner(shard).filter(self::equals).isPresent()) {
-				mine.put(shard.leaseName(), shard);
+				shardsByLease.put(shard.leaseName(), shard);
 			}
 		}
-		return mine;
+		return shardsByLease;
 	}
 
-	private long settledAt(Duration more) {
+	private long formerGrantsExpiry(Duration delay) {
 		int endpointCount = this.configuration.current().register().endpoints().size();
 		long lifetime = this.settings.longestLifetimeMillis(endpointCount, this.membership.members().size())
 				* 1_000_000L;
-		return this.scheduler.nanos() + lifetime + more.toNanos();
+		return this.scheduler.nanos() + lifetime + delay.toNanos();
 	}
 
 	private void open(OwnedShard shard) {
@@ -159,15 +160,15 @@
 		if (entry.isEmpty()) {
 			return;
 		}
-		this.owned.other(this.shards.shard(entry.get()))
+		this.shardLeases.knownOwner(this.shards.shard(entry.get()))
 			.filter((owner) -> !owner.vm().equals(this.membership.self().vm()))
 			.ifPresent((owner) -> this.peers.send(to.vm(), new Redirect(endpoint, owner.vm(), owner.epoch())));
 	}
 
 	/**
-	 * Opens and closes endpoints with their shards.
+	 * Opens and closes the endpoints of a shard when the shard is opened or closed.
 	 */
-	private final class Opening implements ShardLeases.Listener {
+	private final class ShardOpener implements ShardLeases.Listener {
 
 		@Override
 		public void opened(OwnedShard shard) {
@@ -182,7 +183,7 @@
 	}
 
 	/**
-	 * Collects what the owner needs; not safe for use by multiple threads.
+	 * Builds an {@link EndpointOwner}. Not safe for use by multiple threads.
 	 */
 	public static final class Builder {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EntryAccount.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EntryAccount.java
@@ -10,18 +10,18 @@
 import org.bramleyscale.internal.endpoint.Pacing;
 
 /**
- * What one entry holds and uses of one endpoint, as its owner must assume.
+ * Tracks what the owner must assume that one entry holds and uses of one endpoint.
  *
  * <p>
  * Invariant: {@link #bound} is at least what the entry may have in flight at any moment
- * until it is heard again. A grant counts until a later one is acknowledged or it has
- * expired by the owner's clock, which happens after it expired at the entry. Confined to
- * the scheduler's thread.
+ * until it next sends a demand. A grant counts until a later one is acknowledged or it
+ * has expired by the owner's clock, which happens after it expired at the entry. Confined
+ * to the scheduler's thread.
  */
 final class EntryAccount {
 
-	/** The number of what an entry holds from a former owner. */
-	private static final long FORMER_OWNER = 0;
+	/** The grant number used for what an entry holds from a former owner. */
+	private static final long FORMER_OWNER_GRANT = 0;
 
 	private static final long NOT_WAITING = Long.MAX_VALUE;
 
@@ -37,13 +37,13 @@
 
 	private int lifetimeMillis;
 
-	private long heardAt;
+	private long lastContactAt;
 
 	private long waitingSince = NOT_WAITING;
 
-	private boolean toldLeaving;
+	private boolean leavingSent;
 
-	private Amount toldPeak = Amount.NONE;
+	private Amount declaredPeak = Amount.NONE;
 
 	private Amount takenOver = Amount.NONE;
 
@@ -67,12 +67,12 @@
 		return this.lifetimeMillis;
 	}
 
-	long heardAt() {
-		return this.heardAt;
+	long lastContactAt() {
+		return this.lastContactAt;
 	}
 
 	/**
-	 * How grants that weren't asked for are spaced out.
+	 * Returns the pacing of grants that are pushed without a demand.
 	 * @return the pacing
 	 */
 	Pacing pushes() {
@@ -84,19 +84,20 @@
 	}
 
 	/**
-	 * Whether the last message to the entry said that the endpoint is leaving.
-	 * @return true if it need not be told again
+	 * Returns whether the last message to the entry marked the endpoint as leaving.
+	 * @return true if the entry need not be notified again
 	 */
-	boolean toldLeaving() {
-		return this.toldLeaving;
+	boolean leavingSent() {
+		return this.leavingSent;
 	}
 
-	void toldLeaving(boolean value) {
-		this.toldLeaving = value;
+	void leavingSent(boolean value) {
+		this.leavingSent = value;
 	}
 
 	/**
-	 * What the entry held from a former owner, or already used, when first heard.
+	 * Returns what the entry held from a former owner or already used at its first
+	 * demand.
 	 * @return the amount
 	 */
 	Amount takenOver() {
@@ -108,22 +109,23 @@
 	}
 
 	/**
-	 * The most the entry said it uses since the last report of the endpoint, including
-	 * what it had said last by then.
+	 * Returns the highest use that the entry declared since the endpoint's last report,
+	 * including its last declaration before that report.
 	 * @return the amount
 	 */
-	Amount toldPeak() {
-		return this.toldPeak;
+	Amount declaredPeak() {
+		return this.declaredPeak;
 	}
 
-	void endpointReported() {
-		this.toldPeak = inUse();
+	void endpointReportReceived() {
+		this.declaredPeak = inUse();
 	}
 
 	/**
-	 * The KV tokens of requests begun before a collection of memory.
+	 * Returns the KV tokens of requests begun before a memory collection.
 	 * @param collection the collection; 0 if there is none
-	 * @return the tokens; all in use if the entry hasn't heard of the collection yet
+	 * @return the tokens; all that are in use if the entry does not know the collection
+	 * yet
 	 */
 	long olderKv(int collection) {
 		if (collection == 0) {
@@ -137,27 +139,27 @@
 	}
 
 	/**
-	 * Takes in a demand.
+	 * Processes a demand.
 	 * @param item the demand
 	 * @param sentMillis when the entry sent it, by its clock
 	 * @param lifetime the lifetime of grants to the entry, in milliseconds
 	 * @param epoch the owner's epoch
 	 * @param now the time
-	 * @return false if it is older than one already taken in
+	 * @return false if it is older than one already processed
 	 */
-	boolean heard(DemandItem item, long sentMillis, int lifetime, long epoch, long now) {
+	boolean demandReceived(DemandItem item, long sentMillis, int lifetime, long epoch, long now) {
 		if (this.demand != null && sentMillis < this.demandSentMillis) {
 			return false;
 		}
 		boolean first = this.demand == null;
-		if (first || served(item)) {
+		if (first || turnEnded(item)) {
 			this.waitingSince = NOT_WAITING;
 		}
 		this.demand = item;
-		this.toldPeak = this.toldPeak.max(inUse());
+		this.declaredPeak = this.declaredPeak.max(inUse());
 		this.demandSentMillis = sentMillis;
 		this.lifetimeMillis = lifetime;
-		this.heardAt = now;
+		this.lastContactAt = now;
 		if (item.epoch() == epoch) {
 			acknowledge(item);
 		}
@@ -171,12 +173,12 @@
 	}
 
 	/**
-	 * Notes a grant just sent.
+	 * Records a grant that is being sent.
 	 * @param number its number
 	 * @param amount what was granted
 	 * @param now the time
 	 */
-	void granted(long number, Amount amount, long now) {
+	void grantSent(long number, Amount amount, long now) {
 		this.outstanding.addLast(new Outstanding(number, amount, now + nanos(this.lifetimeMillis)));
 		if (this.waitingSince == NOT_WAITING && starved(amount)) {
 			this.waitingSince = now;
@@ -184,19 +186,19 @@
 	}
 
 	/**
-	 * The last grant, whether or not it has expired.
+	 * Returns the last grant, whether or not it has expired.
 	 * @return the amount; nothing before the first grant
 	 */
 	Amount lastGrant() {
 		Outstanding last = this.outstanding.peekLast();
-		return (last != null && last.number != FORMER_OWNER) ? last.amount : Amount.NONE;
+		return (last != null && last.number != FORMER_OWNER_GRANT) ? last.amount : Amount.NONE;
 	}
 
 	/**
-	 * The most the entry may have in flight.
+	 * Returns the most that the entry may have in flight.
 	 * @param now the time
 	 * @param equal the equal split of the capacity
-	 * @param floor what a cut-off entry may always use
+	 * @param floor what a partitioned entry may always use
 	 * @return the amount
 	 */
 	Amount bound(long now, Amount equal, Amount floor) {
@@ -208,9 +210,9 @@
 	}
 
 	/**
-	 * The sum of parts granted and not expired, for checks.
+	 * Returns the largest grant that has not expired, per dimension.
 	 * @param now the time
-	 * @return the largest live grant
+	 * @return the amount; nothing if all grants have expired
 	 */
 	Amount live(long now) {
 		Amount live = Amount.NONE;
@@ -223,21 +225,21 @@
 	}
 
 	/**
-	 * Whether the entry gave back all it had and wants nothing.
-	 * @return true if it needs no account any more
+	 * Returns whether the entry has returned all grants and wants nothing.
+	 * @return true if its account can be removed
 	 */
-	boolean gone() {
-		return resigned() && this.outstanding.isEmpty();
+	boolean removable() {
+		return idle() && this.outstanding.isEmpty();
 	}
 
-	boolean resigned() {
+	boolean idle() {
 		return this.demand.slotsWanted() == 0 && this.demand.inFlight() == 0 && this.demand.heldSlots() == 0;
 	}
 
 	/**
-	 * Whether the entry couldn't start its next request under a grant.
+	 * Returns whether a grant is too small for the entry to start its next request.
 	 * @param grant the grant
-	 * @return true if work waits there for room
+	 * @return true if requests wait for capacity there
 	 */
 	boolean starved(Amount grant) {
 		boolean slots = this.demand.slotsWanted() > this.demand.inFlight() && grant.slots() <= this.demand.inFlight();
@@ -246,24 +248,25 @@
 		return slots || memory;
 	}
 
-	// The turn ends when something was started, not when it was made possible: otherwise
-	// the next in turn would be given the memory before the first could use it.
-	private boolean served(DemandItem item) {
+	// An entry's turn ends when it has started a request, not when it was granted enough
+	// for one: otherwise the next entry would be granted the memory before the first
+	// could use it.
+	private boolean turnEnded(DemandItem item) {
 		boolean started = item.inFlight() > this.demand.inFlight() || item.kvInUse() > this.demand.kvInUse();
-		boolean nothingWaits = item.kvLargest() == 0 && item.slotsWanted() <= item.inFlight();
-		return started || nothingWaits;
+		boolean nothingWaiting = item.kvLargest() == 0 && item.slotsWanted() <= item.inFlight();
+		return started || nothingWaiting;
 	}
 
 	private void acknowledge(DemandItem item) {
-		long needed = resigned() ? item.grant() + 1 : item.grant();
+		long needed = idle() ? item.grant() + 1 : item.grant();
 		this.outstanding.removeIf((grant) -> grant.number < needed);
 	}
 
 	private void takeOver(DemandItem item, int lifetime, long now) {
-		this.outstanding.removeIf((grant) -> grant.number == FORMER_OWNER);
+		this.outstanding.removeIf((grant) -> grant.number == FORMER_OWNER_GRANT);
 		if (item.heldSlots() > 0 || item.heldKv() > 0) {
 			Amount held = new Amount(item.heldSlots(), item.heldKv());
-			this.outstanding.addFirst(new Outstanding(FORMER_OWNER, held, now + nanos(lifetime)));
+			this.outstanding.addFirst(new Outstanding(FORMER_OWNER_GRANT, held, now + nanos(lifetime)));
 		}
 	}
 
@@ -277,9 +280,10 @@
 			if (now <= this.expiresAt) {
 				return this.amount;
 			}
-			// What was started under the grant may still run, so the whole of it counts
-			// until the entry is heard again. Were only its shrinking share counted, a
-			// late demand would let others fill what its requests still use.
+			// Requests started under the grant may still run, so the whole grant counts
+			// until the entry sends another demand. If only its shrinking share counted,
+			// a late demand would let other entries use capacity that its requests still
+			// occupy.
 			Amount share = OwnerlessShare.of(this.amount, equal, floor, now - this.expiresAt, lifetime);
 			return share.max(this.amount);
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EntryAccounts.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EntryAccounts.java
@@ -17,24 +17,24 @@
  * The accounts of all entries of one endpoint.
  *
  * <p>
- * Invariant: one account a VM, that of its latest incarnation heard. Confined to the
- * scheduler's thread.
+ * Invariant: there is at most one account per VM, that of the latest incarnation that
+ * sent a demand. Confined to the scheduler's thread.
  */
 final class EntryAccounts {
 
-	/** An entry that was silent for so long no longer counts. */
-	private static final long SILENT_LIMIT = Duration.ofSeconds(60).toNanos();
+	/** An entry that has sent no demand for this time is removed. */
+	private static final long UNRESPONSIVE_AFTER = Duration.ofSeconds(60).toNanos();
 
 	private final Map<VmId, EntryAccount> accounts = new TreeMap<>(Comparator.comparing(VmId::value));
 
-	private final Runnable forgotten;
+	private final Runnable onRemoved;
 
 	/**
-	 * Begins without accounts.
-	 * @param forgotten called when an account is forgotten whose requests may still run
+	 * Creates an empty set of accounts.
+	 * @param onRemoved called when an account is removed whose requests may still run
 	 */
-	EntryAccounts(Runnable forgotten) {
-		this.forgotten = forgotten;
+	EntryAccounts(Runnable onRemoved) {
+		this.onRemoved = onRemoved;
 	}
 
 	Collection<EntryAccount> all() {
@@ -46,19 +46,19 @@
 	}
 
 	/**
-	 * The accounts of entries that use or want something.
+	 * Returns the accounts of entries that use or want capacity.
 	 * @return the accounts in a stable order
 	 */
-	List<EntryAccount> wanting() {
+	List<EntryAccount> active() {
 		List<EntryAccount> result = new ArrayList<>(this.accounts.values());
-		result.removeIf(EntryAccount::resigned);
+		result.removeIf(EntryAccount::idle);
 		return result;
 	}
 
 	/**
-	 * The account of an incarnation, opened if there is none.
+	 * Returns the account of an incarnation and creates it if there is none.
 	 * @param entry the incarnation
-	 * @return the account, or null if a later incarnation of the VM was heard
+	 * @return the account, or null if a later incarnation of the VM has an account
 	 */
 	EntryAccount of(Incarnation entry) {
 		EntryAccount account = this.accounts.get(entry.vm());
@@ -68,35 +68,35 @@
 		if (account != null && account.entry().equals(entry)) {
 			return account;
 		}
-		EntryAccount opened = new EntryAccount(entry);
-		this.accounts.put(entry.vm(), opened);
+		EntryAccount created = new EntryAccount(entry);
+		this.accounts.put(entry.vm(), created);
 		if (account != null) {
-			this.forgotten.run();
+			this.onRemoved.run();
 		}
-		return opened;
+		return created;
 	}
 
 	/**
-	 * Forgets an entry that no longer runs, once its grants have expired.
+	 * Removes the account of an entry that no longer runs, once its grants have expired.
 	 * @param vm the entry
 	 * @param now the time
 	 */
-	void died(VmId vm, long now) {
+	void removeFailed(VmId vm, long now) {
 		EntryAccount account = this.accounts.get(vm);
 		if (account != null && account.live(now).equals(Amount.NONE)) {
 			this.accounts.remove(vm);
-			this.forgotten.run();
+			this.onRemoved.run();
 		}
 	}
 
-	void forgetSilent(long now) {
-		if (this.accounts.values().removeIf((account) -> now - account.heardAt() > SILENT_LIMIT)) {
-			this.forgotten.run();
+	void removeUnresponsive(long now) {
+		if (this.accounts.values().removeIf((account) -> now - account.lastContactAt() > UNRESPONSIVE_AFTER)) {
+			this.onRemoved.run();
 		}
 	}
 
-	void forgetGone() {
-		this.accounts.values().removeIf(EntryAccount::gone);
+	void removeUnused() {
+		this.accounts.values().removeIf(EntryAccount::removable);
 	}
 
 	Amount sum(Function<EntryAccount, Amount> part) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EntryMessages.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EntryMessageHandler.java
@@ -23,12 +23,12 @@
 import org.bramleyscale.internal.peer.PeerNetwork;
 
 /**
- * Answers what entries send to the owner of their endpoints.
+ * Handles the messages that entries send to the owner of their endpoints.
  *
  * <p>
  * Confined to the scheduler's thread.
  */
-final class EntryMessages {
+final class EntryMessageHandler {
 
 	private final OwnedEndpoints endpoints;
 
@@ -38,26 +38,27 @@
 
 	private final EndpointSettings settings;
 
-	private final BiConsumer<Incarnation, EndpointId> strangers;
+	private final BiConsumer<Incarnation, EndpointId> notOwned;
 
 	private final Counter demanded;
 
 	/**
-	 * Begins to answer once it listens.
-	 * @param endpoints what is owned
-	 * @param shards the shards owned
-	 * @param peers where answers go
+	 * Creates a handler; it handles messages once {@link #listen()} was called.
+	 * @param endpoints the endpoints owned here
+	 * @param shards the leases of the shards owned here
+	 * @param peers the network on which messages arrive and answers are sent
 	 * @param settings the settings
-	 * @param strangers told of who asked for an endpoint that isn't owned here
-	 * @param demanded counts the demands for single endpoints
+	 * @param notOwned called with the sender of a message about an endpoint that is not
+	 * owned here
+	 * @param demanded counts the demand items, one per endpoint
 	 */
-	EntryMessages(OwnedEndpoints endpoints, ShardLeases shards, PeerNetwork peers, EndpointSettings settings,
-			BiConsumer<Incarnation, EndpointId> strangers, Counter demanded) {
+	EntryMessageHandler(OwnedEndpoints endpoints, ShardLeases shards, PeerNetwork peers, EndpointSettings settings,
+			BiConsumer<Incarnation, EndpointId> notOwned, Counter demanded) {
 		this.endpoints = endpoints;
 		this.shards = shards;
 		this.peers = peers;
 		this.settings = settings;
-		this.strangers = strangers;
+		this.notOwned = notOwned;
 		this.demanded = demanded;
 	}
 
@@ -71,21 +72,21 @@
 	private void demanded(Incarnation from, Demand demand) {
 		int lifetimeMillis = this.settings.lifetimeMillis(demand.periodMillis());
 		List<GrantItem> grants = new ArrayList<>();
-		Set<OwnedEndpoint> touched = new LinkedHashSet<>();
-		this.endpoints.heard(from.vm());
+		Set<OwnedEndpoint> affected = new LinkedHashSet<>();
+		this.endpoints.contacted(from.vm());
 		this.demanded.inc(demand.items().size());
 		for (DemandItem item : demand.items()) {
-			Optional<OwnedEndpoint> endpoint = current(item);
-			endpoint.ifPresentOrElse(touched::add, () -> this.strangers.accept(from, item.endpoint()));
-			endpoint.map((owned) -> owned.demanded(from, demand, item, lifetimeMillis)).ifPresent(grants::add);
+			Optional<OwnedEndpoint> endpoint = findCurrent(item);
+			endpoint.ifPresentOrElse(affected::add, () -> this.notOwned.accept(from, item.endpoint()));
+			endpoint.map((owned) -> owned.demandReceived(from, demand, item, lifetimeMillis)).ifPresent(grants::add);
 		}
 		if (!grants.isEmpty()) {
 			this.peers.send(from.vm(), new Grant(demand.sentMillis(), lifetimeMillis, grants));
 		}
-		touched.forEach(this.endpoints::advance);
+		affected.forEach(this.endpoints::advance);
 	}
 
-	private Optional<OwnedEndpoint> current(DemandItem item) {
+	private Optional<OwnedEndpoint> findCurrent(DemandItem item) {
 		this.endpoints.find(item.endpoint())
 			.map(OwnedEndpoint::shard)
 			.filter((shard) -> shard.shard().code() == item.shard())
@@ -98,7 +99,7 @@
 		endpoint.ifPresentOrElse((owned) -> {
 			owned.holds().reserve(from, message.hold(), message.kvTokens(), owned.leaving());
 			this.endpoints.advance(owned);
-		}, () -> this.strangers.accept(from, message.endpoint()));
+		}, () -> this.notOwned.accept(from, message.endpoint()));
 	}
 
 	private void renew(Incarnation from, Renew message) {
@@ -106,7 +107,7 @@
 		for (HeldMemory held : message.holds()) {
 			Optional<OwnedEndpoint> endpoint = this.endpoints.find(held.endpoint());
 			if (endpoint.isEmpty()) {
-				this.strangers.accept(from, held.endpoint());
+				this.notOwned.accept(from, held.endpoint());
 			}
 			else if (endpoint.get().holds().renew(from, held.hold(), held.kvTokens())) {
 				renewed.add(held.hold());
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/FairShares.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/FairShares.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * Max-min fair division of a whole number of units.
+ * Divides a whole number of units max-min fairly.
  *
  * <p>
- * Invariants: nobody gets more than it wants, the sum isn't above what is available, and
- * if there is less than one unit for each, those that have waited longest get one.
- * Stateless and safe for use by multiple threads.
+ * Invariants: no claim gets more than it wants, the sum of the shares does not exceed
+ * what is available, and if there is less than one unit per claim, those that have waited
+ * longest get one unit each. Stateless and safe for use by multiple threads.
  */
 final class FairShares {
 
@@ -18,9 +18,9 @@
 	}
 
 	/**
-	 * Divides.
-	 * @param available how much there is
-	 * @param claims who wants how much
+	 * Divides the units among the claims.
+	 * @param available the number of units
+	 * @param claims the claims on the units
 	 * @return the shares in the order of the claims
 	 */
 	static long[] divide(long available, List<Claim> claims) {
@@ -48,24 +48,25 @@
 	}
 
 	private static void fill(long available, List<Claim> claims, List<Integer> wanting, long[] shares) {
-		// Whoever comes later in this order gets what the rounding leaves.
+		// Claims later in this order get the units left over by rounding down.
 		wanting.sort(Comparator.comparingLong((Integer index) -> claims.get(index).wanted)
 			.thenComparingLong((index) -> -claims.get(index).waitingSince));
-		long left = available;
+		long remaining = available;
 		int unserved = wanting.size();
 		for (int index : wanting) {
-			long share = Math.min(claims.get(index).wanted, left / unserved);
+			long share = Math.min(claims.get(index).wanted, remaining / unserved);
 			shares[index] = share;
-			left -= share;
+			remaining -= share;
 			unserved--;
 		}
 	}
 
 	/**
-	 * One claim.
+	 * A claim on a number of units.
 	 *
-	 * @param wanted how much is wanted
-	 * @param waitingSince since when nothing could be had; smaller is served first
+	 * @param wanted the number of units wanted
+	 * @param waitingSince when the claim began to wait for units; the smallest is served
+	 * first
 	 */
 	record Claim(long wanted, long waitingSince) {
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/Balance.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/GrantTargets.java
@@ -7,23 +7,30 @@
 import org.bramleyscale.internal.endpoint.Amount;
 
 /**
- * The fair targets of all entries of one endpoint at one moment, and what may be granted.
+ * Computes each entry's max-min fair share of one endpoint and the grant that it may
+ * have.
  *
  * <p>
- * Slots and memory are each divided max-min fairly by what the entries want. A request
- * whose memory exceeds its entry's fair part would never start, so the entry that has
- * waited longest is given enough for it, one entry at a time; the others keep a part.
- * Confined to the scheduler's thread; valid only until the next change of the account.
+ * Slots and KV memory are each divided max-min fairly by what the entries want. A request
+ * that needs more memory than its entry's fair share would never start, so the entry that
+ * has waited longest gets enough memory for its request, one entry at a time; the others
+ * keep a part of the memory. Valid only until the account next changes. Confined to the
+ * scheduler's thread.
  */
-final class Balance {
+final class GrantTargets {
 
-	/** Of the KV memory that could be granted, this part stays free for holds. */
+	/** Fraction of the grantable KV memory that stays free for holds. */
 	private static final double HOLD_HEADROOM = 0.05;
 
-	/** Of what nobody asked for, this part is given out, so that bursts needn't wait. */
-	private static final double GIVEN_AHEAD = 0.5;
+	/**
+	 * Fraction of the unrequested capacity that is granted in advance, so that bursts
+	 * need not wait.
+	 */
+	private static final double SURPLUS_SHARE = 0.5;
 
-	/** Of the memory, this part stays with the others while one entry collects. */
+	/**
+	 * Fraction of the memory that the other entries keep while one entry collects memory.
+	 */
 	private static final double SHORT_WORK_SHARE = 0.15;
 
 	private final List<EntryAccount> accounts;
@@ -41,24 +48,26 @@
 	/**
 	 * Computes the targets.
 	 * @param accounts the entries' accounts
-	 * @param bounds what each may have in flight
-	 * @param divisible what may be divided among entries
-	 * @param free what no entry can be using and nothing holds; negative if exceeded
-	 * @param collection the collection of memory under way, or 0; what entries began
-	 * before it isn't part of what is divided
+	 * @param bounds the most that each entry may have in flight
+	 * @param divisible the capacity to divide among the entries
+	 * @param free capacity that no entry can be using and no hold occupies; negative if
+	 * overcommitted
+	 * @param collection the number of the memory collection in progress, or 0; the memory
+	 * of requests begun before it is not part of what is divided
 	 */
-	Balance(List<EntryAccount> accounts, List<Amount> bounds, Amount divisible, Amount free, int collection) {
+	GrantTargets(List<EntryAccount> accounts, List<Amount> bounds, Amount divisible, Amount free, int collection) {
 		this.accounts = accounts;
 		this.bounds = bounds;
 		this.free = free;
 		this.collection = collection;
-		this.slotTargets = withAhead(divisible.slots(), wantedSlots());
-		this.memoryTargets = memory((long) (divisible.kvTokens() * (1 - HOLD_HEADROOM)));
+		this.slotTargets = divideWithSurplus(divisible.slots(), wantedSlots());
+		this.memoryTargets = divideMemory((long) (divisible.kvTokens() * (1 - HOLD_HEADROOM)));
 	}
 
 	/**
-	 * What an entry may be granted: its target, as far as the others leave room for it.
-	 * @param entry its account
+	 * Returns the grant that an entry may have: its target, limited by what the other
+	 * entries leave free.
+	 * @param entry the entry's account
 	 * @return the grant
 	 */
 	Amount grantable(EntryAccount entry) {
@@ -88,9 +97,9 @@
 		return claims;
 	}
 
-	private long[] memory(long available) {
-		long[] targets = withAhead(available, wantedMemory(null));
-		EntryAccount collector = collector(targets, available);
+	private long[] divideMemory(long available) {
+		long[] targets = divideWithSurplus(available, wantedMemory(null));
+		EntryAccount collector = collectingEntry(targets, available);
 		if (collector == null) {
 			return targets;
 		}
@@ -100,32 +109,32 @@
 		return targets;
 	}
 
-	private EntryAccount collector(long[] targets, long available) {
-		List<EntryAccount> stuck = new ArrayList<>();
+	private EntryAccount collectingEntry(long[] targets, long available) {
+		List<EntryAccount> blocked = new ArrayList<>();
 		for (int i = 0; i < targets.length; i++) {
 			EntryAccount account = this.accounts.get(i);
 			long needed = neededForNext(account);
-			boolean waits = account.demand().kvLargest() > 0 && needed > targets[i];
-			if (waits && needed <= available * (1 - SHORT_WORK_SHARE)) {
-				stuck.add(account);
+			boolean waiting = account.demand().kvLargest() > 0 && needed > targets[i];
+			if (waiting && needed <= available * (1 - SHORT_WORK_SHARE)) {
+				blocked.add(account);
 			}
 		}
-		return stuck.stream().min(Comparator.comparingLong(EntryAccount::waitingSince)).orElse(null);
+		return blocked.stream().min(Comparator.comparingLong(EntryAccount::waitingSince)).orElse(null);
 	}
 
 	private long neededForNext(EntryAccount account) {
 		return account.inUse().kvTokens() + account.demand().kvLargest() - account.olderKv(this.collection);
 	}
 
-	private static long[] withAhead(long available, List<FairShares.Claim> claims) {
+	private static long[] divideWithSurplus(long available, List<FairShares.Claim> claims) {
 		long[] shares = FairShares.divide(Math.max(0, available), claims);
-		long left = available;
+		long remaining = available;
 		for (long share : shares) {
-			left -= share;
+			remaining -= share;
 		}
-		long ahead = (long) (Math.max(0, left) * GIVEN_AHEAD / Math.max(1, claims.size()));
+		long surplus = (long) (Math.max(0, remaining) * SURPLUS_SHARE / Math.max(1, claims.size()));
 		for (int i = 0; i < shares.length; i++) {
-			shares[i] += ahead;
+			shares[i] += surplus;
 		}
 		return shares;
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/HoldBook.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/HoldBook.java
@@ -18,18 +18,18 @@
 import org.jboss.logging.Logger;
 
 /**
- * The holds on one engine, and those that wait for memory there.
+ * Registry of the memory holds on one engine and of those that wait for memory there.
  *
  * <p>
  * Invariants: only the hold that has waited longest collects memory; a hold counts in the
- * account from before the engine is asked for it until the engine has confirmed that it
- * is gone. Confined to the scheduler's thread.
+ * account from before the engine is asked to place it until the engine has confirmed its
+ * release. Confined to the scheduler's thread.
  */
 final class HoldBook {
 
 	private static final Logger logger = Logger.getLogger(HoldBook.class);
 
-	private static final int LONGEST_QUEUE = 8;
+	private static final int MAX_WAITING = 8;
 
 	private final Clock clock;
 
@@ -56,13 +56,13 @@
 		return this.holds.values();
 	}
 
-	void update(EndpointEntry newer) {
-		this.engine = newer;
+	void update(EndpointEntry latest) {
+		this.engine = latest;
 	}
 
 	/**
-	 * Takes in a wish to hold memory, new or repeated.
-	 * @param holder who asks
+	 * Processes a request to hold memory, new or repeated.
+	 * @param holder the daemon that asks
 	 * @param id the hold's id
 	 * @param kvTokens the memory
 	 * @param leaving whether the engine gets no new work
@@ -71,14 +71,14 @@
 		long now = this.clock.nanos();
 		MemoryHold known = this.holds.get(id);
 		if (known != null) {
-			repeated(known, now);
+			requestRepeated(known, now);
 			return;
 		}
-		boolean sized = this.account.report() != null;
-		if (sized && kvTokens > this.account.holdable().kvTokens()) {
+		boolean capacityKnown = this.account.report() != null;
+		if (capacityKnown && kvTokens > this.account.holdable().kvTokens()) {
 			refuse(holder, id, Refused.Reason.TOO_LARGE);
 		}
-		else if (leaving || waiting().size() >= LONGEST_QUEUE) {
+		else if (leaving || waiting().size() >= MAX_WAITING) {
 			refuse(holder, id, Refused.Reason.BUSY);
 		}
 		else {
@@ -87,7 +87,7 @@
 	}
 
 	/**
-	 * Takes in a renewal.
+	 * Processes a renewal.
 	 * @param holder the holder
 	 * @param id the hold's id
 	 * @param kvTokens the memory
@@ -97,8 +97,8 @@
 		long now = this.clock.nanos();
 		MemoryHold hold = this.holds.get(id);
 		if (hold == null) {
-			// A former owner placed it. If the engine doesn't list it, it is dropped at
-			// the next comparison and the holder is told.
+			// A former owner placed the hold. If the engine does not list it, the next
+			// reconciliation removes it and notifies the holder.
 			hold = new MemoryHold(id, holder, kvTokens, MemoryHold.State.HELD, now);
 			this.holds.put(id, hold);
 		}
@@ -106,7 +106,7 @@
 			refuse(holder, id, Refused.Reason.LOST);
 			return false;
 		}
-		hold.heard(now);
+		hold.contacted(now);
 		return true;
 	}
 
@@ -121,20 +121,20 @@
 	}
 
 	/**
-	 * The engine has restarted and holds nothing any more.
+	 * Removes all placed holds, because the engine has restarted and lost them.
 	 */
-	void rebooted() {
+	void engineRestarted() {
 		for (MemoryHold hold : List.copyOf(this.holds.values())) {
 			if (hold.occupies()) {
-				lose(hold);
+				lost(hold);
 			}
 		}
-		account();
+		updateAccount();
 	}
 
 	/**
-	 * The hold that has waited longest, if it can be placed now. One that never can be is
-	 * refused.
+	 * Returns the hold that has waited longest, if it can be placed now. A hold that can
+	 * never be placed is refused.
 	 * @return the hold
 	 */
 	Optional<MemoryHold> placeable() {
@@ -158,10 +158,10 @@
 	}
 
 	/**
-	 * Takes in a hold found at the engine that isn't in the book. A former owner placed
-	 * it, or its release was lost. Memory that nobody accounts for would stay lost until
-	 * the engine drops it; it shows as use in reports that no entry claims. Its holder
-	 * has the usual time to renew it.
+	 * Registers a hold that was found at the engine but is not registered here. A former
+	 * owner placed it, or its release was lost. Unregistered memory would be unusable
+	 * until the engine drops the hold; it shows in reports as use that no entry declares.
+	 * The holder has the usual time to renew the hold.
 	 * @param hold the hold
 	 */
 	void adopt(MemoryHold hold) {
@@ -173,17 +173,17 @@
 	}
 
 	/**
-	 * Removes a hold that the engine no longer keeps, and tells its holder.
+	 * Removes a hold that the engine no longer keeps and notifies its holder.
 	 * @param hold the hold
 	 */
-	void lose(MemoryHold hold) {
+	void lost(MemoryHold hold) {
 		logger.infof("Engine %s no longer keeps hold %s", this.engine.name(), hold.id());
 		remove(hold);
 		refuse(hold.holder(), hold.id(), Refused.Reason.LOST);
 	}
 
 	/**
-	 * Tells the holder that the engine keeps the memory.
+	 * Notifies the holder that the engine holds the memory.
 	 * @param hold the hold
 	 */
 	void confirm(MemoryHold hold) {
@@ -191,17 +191,17 @@
 	}
 
 	/**
-	 * Enters what is held and what is collected in the account.
+	 * Updates the account with what is held and what is collected.
 	 */
-	void account() {
+	void updateAccount() {
 		Amount held = heldAmount();
 		Amount wanted = waiting().stream().findFirst().map(HoldBook::needed).orElse(Amount.NONE);
 		boolean possible = held.plus(wanted).within(this.account.holdable());
 		this.account.hold(held, possible ? wanted : Amount.NONE);
 	}
 
-	private void repeated(MemoryHold hold, long now) {
-		hold.heard(now);
+	private void requestRepeated(MemoryHold hold, long now) {
+		hold.contacted(now);
 		if (hold.state() == MemoryHold.State.HELD) {
 			confirm(hold);
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/MemoryHold.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/MemoryHold.java
@@ -3,7 +3,7 @@
 import org.bramleyscale.Incarnation;
 
 /**
- * One hold, or one wait for it, in the owner's book.
+ * A memory hold on an engine, or a request for one, as registered by the owner.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -18,21 +18,21 @@
 
 	private State state;
 
-	private long heardAt;
+	private long lastContactAt;
 
-	private long placedAt;
+	private long lastCallAt;
 
 	private long deferredUntil = Long.MIN_VALUE;
 
-	private boolean calling;
+	private boolean releaseCalled;
 
 	MemoryHold(String id, Incarnation holder, long kvTokens, State state, long now) {
 		this.id = id;
 		this.holder = holder;
 		this.kvTokens = kvTokens;
 		this.state = state;
-		this.heardAt = now;
-		this.placedAt = now;
+		this.lastContactAt = now;
+		this.lastCallAt = now;
 	}
 
 	String id() {
@@ -55,28 +55,28 @@
 		this.state = next;
 	}
 
-	long heardAt() {
-		return this.heardAt;
+	long lastContactAt() {
+		return this.lastContactAt;
 	}
 
-	void heard(long now) {
-		this.heardAt = now;
+	void contacted(long now) {
+		this.lastContactAt = now;
 	}
 
 	/**
-	 * When the engine was last asked to keep the memory.
+	 * Returns when the engine was last called to hold, renew or free the memory.
 	 * @return the time
 	 */
-	long placedAt() {
-		return this.placedAt;
+	long lastCallAt() {
+		return this.lastCallAt;
 	}
 
-	void placed(long now) {
-		this.placedAt = now;
+	void called(long now) {
+		this.lastCallAt = now;
 	}
 
 	/**
-	 * Until when the engine isn't asked again, because it had too little memory.
+	 * Returns until when the engine is not asked again, because it had too little memory.
 	 * @return the time
 	 */
 	long deferredUntil() {
@@ -88,15 +88,15 @@
 	}
 
 	/**
-	 * Whether the engine has been asked to free the memory.
+	 * Returns whether the engine has been called to free the memory.
 	 * @return true from the first such call on
 	 */
-	boolean calling() {
-		return this.calling;
+	boolean releaseCalled() {
+		return this.releaseCalled;
 	}
 
-	void calling(boolean value) {
-		this.calling = value;
+	void releaseCalled(boolean value) {
+		this.releaseCalled = value;
 	}
 
 	boolean occupies() {
@@ -104,11 +104,14 @@
 	}
 
 	/**
-	 * States in the order in which a hold passes them.
+	 * The states of a hold, in the order in which it passes through them.
 	 */
 	enum State {
 
-		/** Memory is collected for it, or will be once those before it have theirs. */
+		/**
+		 * Memory is being collected for the hold, or will be once earlier holds are
+		 * placed.
+		 */
 		WAITING,
 
 		/** The engine has been asked to hold the memory. */
@@ -117,7 +120,7 @@
 		/** The engine holds the memory. */
 		HELD,
 
-		/** The engine shall free the memory and hasn't confirmed it. */
+		/** The memory is to be freed, and the engine has not confirmed it yet. */
 		RELEASING
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/OwnedEndpoint.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/OwnedEndpoint.java
@@ -17,19 +17,21 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * One endpoint with its account, its reports and its leaving mark.
+ * An endpoint that this daemon owns, with its account, reports, holds and leaving state.
  *
  * <p>
  * Confined to the scheduler's thread.
  */
 final class OwnedEndpoint {
 
-	/** How long a sign of leaving heard from an entry counts without confirmation. */
-	private static final long CLAIM_LIFETIME = Duration.ofSeconds(10).toNanos();
+	/**
+	 * How long an entry's claim that the endpoint is leaving counts without confirmation.
+	 */
+	private static final long LEAVING_CLAIM_LIFETIME = Duration.ofSeconds(10).toNanos();
 
 	private static final long IN_USE_FOR = Duration.ofSeconds(10).toNanos();
 
-	private static final Duration FRESH_ENOUGH = Duration.ofMillis(250);
+	private static final Duration FRESH_REPORT_PERIOD = Duration.ofMillis(250);
 
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -39,26 +41,26 @@
 
 	private final EndpointAccount account;
 
-	private final HoldKeeper holds;
+	private final HoldReconciler reconciler;
 
 	private final ReportPoller poller;
 
 	private EndpointEntry entry;
 
-	private long claimedAt = NEVER;
+	private long leavingClaimedAt = NEVER;
 
 	private long leavingSince = NEVER;
 
 	private long usedAt = NEVER;
 
-	OwnedEndpoint(EndpointEntry entry, OwnedShard shard, EndpointAccount account, HoldKeeper holds, Clock clock,
-			EngineClient engines) {
+	OwnedEndpoint(EndpointEntry entry, OwnedShard shard, EndpointAccount account, HoldReconciler reconciler,
+			Clock clock, EngineClient engines) {
 		this.entry = entry;
 		this.shard = shard;
 		this.account = account;
-		this.holds = holds;
+		this.reconciler = reconciler;
 		this.clock = clock;
-		this.poller = new ReportPoller(clock, engines, this::reported);
+		this.poller = new ReportPoller(clock, engines, this::reportReceived);
 		this.leavingSince = entry.leaving() ? clock.nanos() : NEVER;
 	}
 
@@ -79,20 +81,20 @@
 	}
 
 	HoldBook holds() {
-		return this.holds.book();
+		return this.reconciler.registry();
 	}
 
 	boolean used() {
-		return this.clock.nanos() - this.usedAt < IN_USE_FOR || !this.holds.book().holds().isEmpty();
+		return this.clock.nanos() - this.usedAt < IN_USE_FOR || !this.reconciler.registry().holds().isEmpty();
 	}
 
 	boolean leaving() {
 		return this.leavingSince != NEVER;
 	}
 
-	void update(EndpointEntry newer) {
-		this.entry = newer;
-		this.holds.book().update(newer);
+	void update(EndpointEntry latest) {
+		this.entry = latest;
+		this.reconciler.registry().update(latest);
 		checkLeaving();
 	}
 
@@ -101,86 +103,86 @@
 	}
 
 	/**
-	 * Takes in a demand.
+	 * Processes a demand.
 	 * @param from the entry
 	 * @param demand the message
 	 * @param item the item for this endpoint
 	 * @param lifetimeMillis the lifetime of grants to the entry
 	 * @return the grant in answer, or null if none is due
 	 */
-	GrantItem demanded(Incarnation from, Demand demand, DemandItem item, int lifetimeMillis) {
+	GrantItem demandReceived(Incarnation from, Demand demand, DemandItem item, int lifetimeMillis) {
 		long now = this.clock.nanos();
 		if (item.leaving()) {
-			this.claimedAt = now;
+			this.leavingClaimedAt = now;
 			checkLeaving();
 		}
-		EntryAccount entryAccount = this.account.demanded(from, item, demand.sentMillis(), lifetimeMillis, now);
+		EntryAccount entryAccount = this.account.demandReceived(from, item, demand.sentMillis(), lifetimeMillis, now);
 		if (entryAccount == null) {
 			return null;
 		}
-		if (entryAccount.resigned()) {
+		if (entryAccount.idle()) {
 			return item(entryAccount, GrantItem.REPORT_ONLY, Amount.NONE);
 		}
 		if (!used()) {
-			// While idle the report is asked for seldom; the first grant carries the old
-			// one, and the next a fresh one.
-			this.poller.poll(this.entry, FRESH_ENOUGH);
+			// An idle endpoint is polled rarely, so the first grant carries an old report
+			// and the next one a fresh report.
+			this.poller.poll(this.entry, FRESH_REPORT_PERIOD);
 		}
 		this.usedAt = now;
 		return grant(entryAccount, now);
 	}
 
 	/**
-	 * Does what is due: looks after the holds, and finds the grants that should go out
-	 * unasked.
-	 * @return the grants with their receivers
+	 * Performs the work that is due on the holds and determines the grants to push
+	 * without a demand.
+	 * @return the grants with their recipients
 	 */
 	List<Push> advance() {
 		long now = this.clock.nanos();
-		this.holds.progress();
+		this.reconciler.progress();
 		List<Push> pushes = new ArrayList<>();
-		for (EntryAccount receiver : receivers(now)) {
-			if (leaving() || receiver.pushes().waitNanos(now) <= 0) {
-				receiver.pushes().acted(now, receiver.lifetimeMillis() * 1_000_000L / 2);
-				Grant grant = new Grant(receiver.demandSentMillis(), receiver.lifetimeMillis(),
-						List.of(grant(receiver, now)));
-				pushes.add(new Push(receiver.entry(), grant));
+		for (EntryAccount recipient : recipients(now)) {
+			if (leaving() || recipient.pushes().waitNanos(now) <= 0) {
+				recipient.pushes().acted(now, recipient.lifetimeMillis() * 1_000_000L / 2);
+				Grant grant = new Grant(recipient.demandSentMillis(), recipient.lifetimeMillis(),
+						List.of(grant(recipient, now)));
+				pushes.add(new Push(recipient.entry(), grant));
 			}
 		}
 		return pushes;
 	}
 
-	private List<EntryAccount> receivers(long now) {
+	private List<EntryAccount> recipients(long now) {
 		if (leaving()) {
-			// A push that is lost needs no repetition: the entry's next demand is
-			// answered
-			// with the mark, and an entry never sends demands less often than every 2 s.
-			return this.account.entries().all().stream().filter((entry) -> !entry.toldLeaving()).toList();
+			// A lost push need not be repeated: the answer to the entry's next demand
+			// says that the endpoint is leaving, and an entry sends a demand at least
+			// every 2 s.
+			return this.account.entries().all().stream().filter((entry) -> !entry.leavingSent()).toList();
 		}
 		return this.account.unbalanced(now);
 	}
 
-	private GrantItem grant(EntryAccount receiver, long now) {
-		Amount amount = leaving() ? Amount.NONE : this.account.grantable(receiver, now);
-		return item(receiver, this.account.granted(receiver, amount, now), amount);
+	private GrantItem grant(EntryAccount recipient, long now) {
+		Amount amount = leaving() ? Amount.NONE : this.account.grantable(recipient, now);
+		return item(recipient, this.account.grantSent(recipient, amount, now), amount);
 	}
 
-	private GrantItem item(EntryAccount receiver, long number, Amount amount) {
-		receiver.toldLeaving(leaving());
+	private GrantItem item(EntryAccount recipient, long number, Amount amount) {
+		recipient.leavingSent(leaving());
 		GrantedReport report = null;
 		if (this.account.report() != null) {
 			int ageMillis = (int) Math.min(Integer.MAX_VALUE, this.poller.age() / 1_000_000);
-			report = GrantedReport.of(this.account.report(), ageMillis, receiver.demand().models());
+			report = GrantedReport.of(this.account.report(), ageMillis, recipient.demand().models());
 		}
 		return new GrantItem(this.entry.name(), this.shard.shard().code(), this.shard.epoch(), number, amount.slots(),
 				amount.kvTokens(), leaving(), report, this.account.collection());
 	}
 
-	private void reported(LoadReport report) {
-		LoadReport former = this.account.report();
-		this.account.reported(report);
-		if (former != null && former.boot() != report.boot()) {
-			this.holds.book().rebooted();
+	private void reportReceived(LoadReport report) {
+		LoadReport previous = this.account.report();
+		this.account.reportReceived(report);
+		if (previous != null && previous.boot() != report.boot()) {
+			this.reconciler.registry().engineRestarted();
 		}
 		checkLeaving();
 	}
@@ -188,9 +190,9 @@
 	private void checkLeaving() {
 		LoadReport report = this.account.report();
 		long now = this.clock.nanos();
-		boolean sign = this.entry.leaving() || (report != null && report.leaving())
-				|| now - this.claimedAt < CLAIM_LIFETIME;
-		if (!sign) {
+		boolean indicated = this.entry.leaving() || (report != null && report.leaving())
+				|| now - this.leavingClaimedAt < LEAVING_CLAIM_LIFETIME;
+		if (!indicated) {
 			this.leavingSince = NEVER;
 		}
 		else if (this.leavingSince == NEVER) {
@@ -199,9 +201,9 @@
 	}
 
 	/**
-	 * A grant on its way to one entry.
+	 * A grant to be pushed to one entry.
 	 *
-	 * @param to the entry
+	 * @param to the recipient
 	 * @param grant the grant
 	 */
 	record Push(Incarnation to, Grant grant) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/OwnedEndpoints.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/OwnedEndpoints.java
@@ -24,15 +24,18 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * The endpoints of the shards owned here, and what must be done for them regularly.
+ * The endpoints of the shards that this daemon owns, and their periodic maintenance.
  *
  * <p>
  * Confined to the scheduler's thread.
  */
 final class OwnedEndpoints {
 
-	/** Less than the time after which a cut-off entry uses its equal split. */
-	private static final long SILENT = Duration.ofSeconds(7).toNanos();
+	/**
+	 * An entry without contact for this time is unresponsive. Less than the time after
+	 * which a partitioned entry uses its equal split.
+	 */
+	private static final long UNRESPONSIVE_AFTER = Duration.ofSeconds(7).toNanos();
 
 	private final Scheduler scheduler;
 
@@ -48,7 +51,7 @@
 
 	private final Counter pushes;
 
-	private final Map<VmId, Long> heardAt = new HashMap<>();
+	private final Map<VmId, Long> lastContactAt = new HashMap<>();
 
 	private final Map<EndpointId, OwnedEndpoint> endpoints = new TreeMap<>(Comparator.comparing(EndpointId::value));
 
@@ -73,9 +76,9 @@
 	}
 
 	/**
-	 * Opens an endpoint of an owned shard, or takes over its newer entry.
+	 * Opens an endpoint of an owned shard, or updates its configuration entry.
 	 * @param shard the shard
-	 * @param entry the endpoint
+	 * @param entry the endpoint's configuration entry
 	 */
 	void open(OwnedShard shard, EndpointEntry entry) {
 		OwnedEndpoint endpoint = this.endpoints.computeIfAbsent(entry.name(), (name) -> create(shard, entry));
@@ -88,15 +91,16 @@
 	}
 
 	/**
-	 * Notes that an entry was heard, whatever it asked for.
+	 * Records a message from an entry, whatever its content.
 	 * @param vm the entry
 	 */
-	void heard(VmId vm) {
-		this.heardAt.put(vm, this.scheduler.nanos());
+	void contacted(VmId vm) {
+		this.lastContactAt.put(vm, this.scheduler.nanos());
 	}
 
 	/**
-	 * Does what is due for one endpoint and sends the grants that should go out unasked.
+	 * Performs the work that is due for one endpoint and pushes grants to entries that
+	 * need a change.
 	 * @param endpoint the endpoint
 	 */
 	void advance(OwnedEndpoint endpoint) {
@@ -107,17 +111,17 @@
 	}
 
 	/**
-	 * Does what is due for all endpoints.
+	 * Performs the work that is due for all endpoints.
 	 */
 	void tick() {
 		long now = this.scheduler.nanos();
 		int used = (int) this.endpoints.values().stream().filter(OwnedEndpoint::used).count();
-		Duration busy = this.settings.reportPeriod(used, this.membership.members().size());
+		Duration activePeriod = this.settings.reportPeriod(used, this.membership.members().size());
 		for (OwnedEndpoint endpoint : this.endpoints.values()) {
-			count(endpoint.account());
-			forgetDead(endpoint, now);
+			updateMembers(endpoint.account());
+			removeFailed(endpoint, now);
 			endpoint.account().prune(now);
-			endpoint.poll(endpoint.used() ? busy : this.settings.reportIdlePeriod());
+			endpoint.poll(endpoint.used() ? activePeriod : this.settings.reportIdlePeriod());
 			endpoint.update(endpoint.entry());
 			advance(endpoint);
 		}
@@ -125,46 +129,47 @@
 
 	private OwnedEndpoint create(OwnedShard shard, EndpointEntry entry) {
 		Amount floor = new Amount(1, this.settings.floorKvTokens());
-		EndpointAccount account = new EndpointAccount(shard.epoch(), floor, shard.settledAt());
-		count(account);
+		EndpointAccount account = new EndpointAccount(shard.epoch(), floor, shard.formerGrantsExpiry());
+		updateMembers(account);
 		HoldBook holds = new HoldBook(entry, this.scheduler, account, this.peers::send);
-		HoldKeeper keeper = new HoldKeeper(holds, this.scheduler, this.engines, () -> this.leaseHeld.test(shard));
-		OwnedEndpoint endpoint = new OwnedEndpoint(entry, shard, account, keeper, this.scheduler, this.engines);
+		HoldReconciler reconciler = new HoldReconciler(holds, this.scheduler, this.engines,
+				() -> this.leaseHeld.test(shard));
+		OwnedEndpoint endpoint = new OwnedEndpoint(entry, shard, account, reconciler, this.scheduler, this.engines);
 		endpoint.poll(this.settings.reportPeriod(1, 1));
 		return endpoint;
 	}
 
-	private void count(EndpointAccount account) {
+	private void updateMembers(EndpointAccount account) {
 		int sharing = Math.max(1, this.membership.eligible().size());
 		int live = (int) this.membership.members().stream().filter(OwnedEndpoints::mayHold).count();
 		account.members(sharing, live);
-		account.cutOff(cutOff(account));
+		account.unresponsiveEntries(unresponsiveEntries(account));
 	}
 
-	// In a small fleet every entry makes contact every few seconds. One that doesn't is
-	// cut off from this owner and after a while uses its equal split. Unless that is kept
-	// for it, an owner cut off from everybody gives everything to its own entry, and the
-	// endpoint gets up to twice what it takes.
-	private int cutOff(EndpointAccount account) {
+	// In a small fleet every entry makes contact every few seconds. An entry that does
+	// not is partitioned from this owner and after a while uses its equal split. Unless
+	// that split is reserved for it, an owner partitioned from all other daemons grants
+	// everything to its own entry, and the endpoint receives up to twice its capacity.
+	private int unresponsiveEntries(EndpointAccount account) {
 		List<Member> members = this.membership.eligible();
 		if (!this.settings.smallFleet(members.size())) {
 			return 0;
 		}
 		long now = this.scheduler.nanos();
-		int silent = 0;
+		int unresponsive = 0;
 		for (Member member : members) {
-			long heard = this.heardAt.computeIfAbsent(member.vm(), (vm) -> now);
-			boolean accounted = account.entries().has(member.vm());
-			silent += (!accounted && now - heard > SILENT) ? 1 : 0;
+			long lastContact = this.lastContactAt.computeIfAbsent(member.vm(), (vm) -> now);
+			boolean hasAccount = account.entries().has(member.vm());
+			unresponsive += (!hasAccount && now - lastContact > UNRESPONSIVE_AFTER) ? 1 : 0;
 		}
-		return silent;
+		return unresponsive;
 	}
 
-	private void forgetDead(OwnedEndpoint endpoint, long now) {
+	private void removeFailed(OwnedEndpoint endpoint, long now) {
 		for (EntryAccount entry : List.copyOf(endpoint.account().entries().all())) {
 			VmId vm = entry.entry().vm();
 			if (this.membership.member(vm).filter(OwnedEndpoints::mayHold).isEmpty()) {
-				endpoint.account().entries().died(vm, now);
+				endpoint.account().entries().removeFailed(vm, now);
 			}
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/ReportPoller.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/ReportPoller.java
@@ -9,15 +9,15 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Asks one endpoint for its report, at most once at a time.
+ * Polls one endpoint for its load report, with at most one call in progress.
  *
  * <p>
  * Confined to the scheduler's thread.
  */
 final class ReportPoller {
 
-	/** A report that didn't come within this time is given up and asked for again. */
-	private static final long ANSWER_LIMIT = Duration.ofSeconds(2).toNanos();
+	/** A call without an answer within this time is abandoned and repeated. */
+	private static final long ANSWER_TIMEOUT = Duration.ofSeconds(2).toNanos();
 
 	private final Clock clock;
 
@@ -25,15 +25,15 @@
 
 	private final Consumer<LoadReport> reports;
 
-	private long askedAt;
+	private long requestedAt;
 
-	private long answeredAskedAt;
+	private long reportRequestedAt;
 
 	private boolean answered;
 
-	private long round;
+	private long lastRequest;
 
-	private boolean asking;
+	private boolean pending;
 
 	private int failures;
 
@@ -44,47 +44,47 @@
 	}
 
 	/**
-	 * Asks if the last question is old enough.
+	 * Requests a report if the last request is old enough.
 	 * @param endpoint the endpoint
-	 * @param period how often to ask
+	 * @param period how often to poll
 	 */
 	void poll(EndpointEntry endpoint, Duration period) {
 		long now = this.clock.nanos();
-		long pause = this.asking ? Math.max(ANSWER_LIMIT, period.toNanos()) : period.toNanos();
-		if (this.round > 0 && now - this.askedAt < pause) {
+		long pause = this.pending ? Math.max(ANSWER_TIMEOUT, period.toNanos()) : period.toNanos();
+		if (this.lastRequest > 0 && now - this.requestedAt < pause) {
 			return;
 		}
-		this.asking = true;
-		this.askedAt = now;
-		this.round++;
-		long asked = this.round;
-		this.engines.report(endpoint).whenComplete((report, failure) -> received(asked, report, failure));
+		this.pending = true;
+		this.requestedAt = now;
+		this.lastRequest++;
+		long request = this.lastRequest;
+		this.engines.report(endpoint).whenComplete((report, failure) -> received(request, report, failure));
 	}
 
 	/**
-	 * How old the newest report is, counted from when it was asked for.
+	 * Returns the age of the newest report, counted from when it was requested.
 	 * @return the age in nanoseconds, or negative if there is none
 	 */
 	long age() {
-		return this.answered ? this.clock.nanos() - this.answeredAskedAt : -1;
+		return this.answered ? this.clock.nanos() - this.reportRequestedAt : -1;
 	}
 
 	int failures() {
 		return this.failures;
 	}
 
-	private void received(long asked, LoadReport report, Throwable failure) {
-		if (asked != this.round) {
+	private void received(long request, LoadReport report, Throwable failure) {
+		if (request != this.lastRequest) {
 			return;
 		}
-		this.asking = false;
+		this.pending = false;
 		if (failure != null || report == null) {
 			this.failures++;
 			return;
 		}
 		this.failures = 0;
 		this.answered = true;
-		this.answeredAskedAt = this.askedAt;
+		this.reportRequestedAt = this.requestedAt;
 		this.reports.accept(report);
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/HoldingShare.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/ReservedShare.java
@@ -3,14 +3,16 @@
 import org.bramleyscale.internal.endpoint.Amount;
 
 /**
- * What reservations hold of one endpoint, and what the one that waits still collects.
+ * What reservations hold of one endpoint, and what the waiting reservation still
+ * collects.
  *
  * <p>
- * Confined to the scheduler's thread.
+ * While a reservation waits, the memory that ending requests free is collected for it;
+ * each such collection has a number. Confined to the scheduler's thread.
  */
-final class HoldingShare {
+final class ReservedShare {
 
-	/** Of slots and memory, this part stays with entries however much is held. */
+	/** Fraction of slots and memory that entries always keep, however much is held. */
 	private static final double SHORT_WORK_SHARE = 0.15;
 
 	private Amount held = Amount.NONE;
@@ -28,7 +30,7 @@
 	}
 
 	/**
-	 * Sets what is held.
+	 * Sets what is held and collected.
 	 * @param amount memory and slots held
 	 * @param needed what a waiting reservation still needs
 	 */
@@ -41,7 +43,7 @@
 	}
 
 	/**
-	 * The number of the collection under way.
+	 * Returns the number of the memory collection in progress.
 	 * @return the number; 0 if nothing is collected
 	 */
 	int collection() {
@@ -49,7 +51,7 @@
 	}
 
 	/**
-	 * The most that may ever be held, so that short work always has a part.
+	 * Returns the most that may ever be held, so that short requests always keep a part.
 	 * @param capacity the endpoint's capacity
 	 * @return the amount
 	 */
@@ -59,11 +61,12 @@
 	}
 
 	/**
-	 * What may be divided among entries. While a reservation collects, that is only the
-	 * part kept for short work; what was in flight when the collection began comes on
-	 * top, and goes to the reservation as it ends.
+	 * Returns what may be divided among entries. While a reservation collects memory,
+	 * this is only the part kept for short requests; the memory of requests that were in
+	 * flight when the collection began is counted in addition and passes to the
+	 * reservation as they end.
 	 * @param capacity the endpoint's capacity
-	 * @param rest what isn't held
+	 * @param rest the capacity that is not held
 	 * @return the amount
 	 */
 	Amount divisible(Amount capacity, Amount rest) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/ShardLeases.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/ShardLeases.java
@@ -22,12 +22,13 @@
 import org.jboss.logging.Logger;
 
 /**
- * The shards that this daemon owns or seeks, and the owners of others that it heard of.
+ * The shards that this daemon owns or seeks, and the announced owners of other shards.
  *
  * <p>
- * Invariant: a shard stays owned when its lease lapses, until a greater epoch is heard
- * of. In an outage of the platform nobody can take the lease, and grants must go on. In
- * any other case the next holder announces itself. Confined to the scheduler's thread.
+ * Invariant: a shard stays owned after its lease lapses, until this daemon learns of a
+ * greater epoch. During an outage of the platform nobody can acquire the lease, and
+ * granting must continue. In any other case the next holder announces itself. Confined to
+ * the scheduler's thread.
  */
 final class ShardLeases {
 
@@ -36,11 +37,17 @@
 	/** No former owner can have granted anything before this epoch. */
 	private static final long FIRST_EPOCH = 1;
 
-	/** While configurations spread, two daemons may own an endpoint by different maps. */
-	private static final Duration CONFIGURATION_SPREAD = Duration.ofSeconds(5);
+	/**
+	 * While a configuration propagates, two daemons may own an endpoint by different
+	 * shard maps.
+	 */
+	private static final Duration CONFIGURATION_PROPAGATION = Duration.ofSeconds(5);
 
-	/** Above so many members, a take-over is announced only where it may matter. */
-	private static final int ANNOUNCE_TO_ALL = 64;
+	/**
+	 * In a larger fleet, a new owner is announced only to connected daemons and to the
+	 * shard's data centre.
+	 */
+	private static final int MAX_MEMBERS_FOR_BROADCAST = 64;
 
 	private final Leases leases;
 
@@ -48,7 +55,7 @@
 
 	private final PeerNetwork peers;
 
-	private final ToLongFunction<Duration> settledAt;
+	private final ToLongFunction<Duration> formerGrantsExpiry;
 
 	private final Listener listener;
 
@@ -56,23 +63,23 @@
 
 	private final Map<String, OwnedShard> owned = new HashMap<>();
 
-	private final Map<String, KnownOwner> others = new HashMap<>();
+	private final Map<String, KnownOwner> knownOwners = new HashMap<>();
 
 	/**
-	 * Begins with no shard.
-	 * @param leases the leases
-	 * @param membership who exists
-	 * @param peers where take-overs are announced
-	 * @param settledAt when grants of a former owner have expired, with an additional
-	 * delay
-	 * @param listener told of what is opened and closed
+	 * Creates an instance that owns and seeks no shard.
+	 * @param leases the leases of this daemon
+	 * @param membership the known daemons
+	 * @param peers the network on which new owners are announced
+	 * @param formerGrantsExpiry computes when the grants of a former owner have expired,
+	 * given an additional delay
+	 * @param listener notified when a shard is opened or closed
 	 */
-	ShardLeases(Leases leases, MembershipView membership, PeerNetwork peers, ToLongFunction<Duration> settledAt,
-			Listener listener) {
+	ShardLeases(Leases leases, MembershipView membership, PeerNetwork peers,
+			ToLongFunction<Duration> formerGrantsExpiry, Listener listener) {
 		this.leases = leases;
 		this.membership = membership;
 		this.peers = peers;
-		this.settledAt = settledAt;
+		this.formerGrantsExpiry = formerGrantsExpiry;
 		this.listener = listener;
 	}
 
@@ -81,17 +88,18 @@
 	}
 
 	Optional<OwnedShard> owned(Shard shard) {
-		return Optional.ofNullable(this.owned.get(shard.leaseName())).filter((mine) -> mine.shard().equals(shard));
+		return Optional.ofNullable(this.owned.get(shard.leaseName()))
+			.filter((ownedShard) -> ownedShard.shard().equals(shard));
 	}
 
-	Optional<KnownOwner> other(Shard shard) {
-		return Optional.ofNullable(this.others.get(shard.leaseName()));
+	Optional<KnownOwner> knownOwner(Shard shard) {
+		return Optional.ofNullable(this.knownOwners.get(shard.leaseName()));
 	}
 
 	/**
-	 * Whether the lease of a shard is certainly held now.
+	 * Returns whether the lease of a shard is certainly held now.
 	 * @param shard the shard
-	 * @return true if acts that need the lease are allowed
+	 * @return true if operations that need the lease are allowed
 	 */
 	boolean held(OwnedShard shard) {
 		return this.leases.lease(shard.shard().leaseName())
@@ -101,7 +109,7 @@
 
 	/**
 	 * Seeks the leases of these shards and of no others.
-	 * @param shards the shards, by the names of their leases
+	 * @param shards the shards by lease name
 	 */
 	void seek(Map<String, Shard> shards) {
 		for (String lease : List.copyOf(this.sought.keySet())) {
@@ -115,46 +123,48 @@
 	}
 
 	/**
-	 * A greater epoch of a shard was heard of.
+	 * Drops a shard that is owned with a smaller epoch than one that was received.
 	 * @param shard the shard
-	 * @param epoch the epoch
+	 * @param epoch the epoch that was received
 	 */
 	void superseded(Shard shard, long epoch) {
-		OwnedShard mine = this.owned.get(shard.leaseName());
-		if (mine != null && mine.epoch() < epoch) {
-			logger.infof("Epoch %d of %s is older than %d", mine.epoch(), shard.leaseName(), epoch);
+		OwnedShard ownedShard = this.owned.get(shard.leaseName());
+		if (ownedShard != null && ownedShard.epoch() < epoch) {
+			logger.infof("Epoch %d of %s is superseded by epoch %d", ownedShard.epoch(), shard.leaseName(), epoch);
 			drop(shard.leaseName());
 		}
 	}
 
 	/**
-	 * Announces what is owned here, for daemons that could not be reached before. A
-	 * former owner that was cut off would otherwise poll and count for ever.
+	 * Announces the owned shards again, for daemons that were unreachable before. A
+	 * former owner that was partitioned would otherwise keep polling and accounting
+	 * indefinitely.
 	 */
-	void announceAgain() {
+	void reannounce() {
 		this.owned.values().forEach(this::announce);
 	}
 
 	void announced(Incarnation from, OwnerAnnounced message) {
 		Shard shard = Shard.of(message.dataCentre(), message.shard());
-		KnownOwner known = this.others.get(shard.leaseName());
-		if (known == null || known.epoch() <= message.epoch()) {
-			this.others.put(shard.leaseName(), new KnownOwner(from.vm(), message.epoch()));
+		KnownOwner previous = this.knownOwners.get(shard.leaseName());
+		if (previous == null || previous.epoch() <= message.epoch()) {
+			this.knownOwners.put(shard.leaseName(), new KnownOwner(from.vm(), message.epoch()));
 		}
 		superseded(shard, message.epoch());
 	}
 
 	private void seek(String lease, Shard shard) {
-		Shard before = this.sought.put(lease, shard);
-		if (before == null) {
+		Shard previous = this.sought.put(lease, shard);
+		if (previous == null) {
 			this.leases.seek(lease, new ShardListener(lease));
 		}
-		else if (!before.equals(shard) && this.owned.containsKey(lease)) {
-			// The shard's contents changed: former owners of what is new here may go on
-			// granting until the configuration has reached them and their entries.
+		else if (!previous.equals(shard) && this.owned.containsKey(lease)) {
+			// The shard's endpoints changed: former owners of endpoints that are new here
+			// may continue to grant until the configuration has reached them and their
+			// entries.
 			long epoch = this.owned.get(lease).epoch();
 			drop(lease);
-			open(new OwnedShard(shard, epoch, this.settledAt.applyAsLong(CONFIGURATION_SPREAD)));
+			open(new OwnedShard(shard, epoch, this.formerGrantsExpiry.applyAsLong(CONFIGURATION_PROPAGATION)));
 		}
 	}
 
@@ -164,15 +174,16 @@
 			return;
 		}
 		drop(lease);
-		long settled = (epoch <= FIRST_EPOCH) ? Long.MIN_VALUE : this.settledAt.applyAsLong(Duration.ZERO);
-		open(new OwnedShard(shard, epoch, settled));
+		long grantsExpiry = (epoch <= FIRST_EPOCH) ? Long.MIN_VALUE
+				: this.formerGrantsExpiry.applyAsLong(Duration.ZERO);
+		open(new OwnedShard(shard, epoch, grantsExpiry));
 	}
 
 	private void open(OwnedShard shard) {
 		String lease = shard.shard().leaseName();
-		logger.infof("Granting for %s with epoch %d", lease, shard.epoch());
+		logger.infof("Started granting for %s with epoch %d", lease, shard.epoch());
 		this.owned.put(lease, shard);
-		this.others.remove(lease);
+		this.knownOwners.remove(lease);
 		this.listener.opened(shard);
 		announce(shard);
 	}
@@ -180,25 +191,25 @@
 	private void drop(String lease) {
 		OwnedShard shard = this.owned.remove(lease);
 		if (shard != null) {
-			logger.infof("No longer granting for %s with epoch %d", lease, shard.epoch());
+			logger.infof("Stopped granting for %s with epoch %d", lease, shard.epoch());
 			this.listener.closed(shard);
 		}
 	}
 
 	private void announce(OwnedShard shard) {
 		OwnerAnnounced message = new OwnerAnnounced(shard.shard().dataCentre(), shard.shard().code(), shard.epoch());
-		Set<VmId> receivers = new HashSet<>(this.peers.connected());
-		boolean all = this.membership.members().size() <= ANNOUNCE_TO_ALL;
+		Set<VmId> recipients = new HashSet<>(this.peers.connected());
+		boolean broadcast = this.membership.members().size() <= MAX_MEMBERS_FOR_BROADCAST;
 		for (Member member : this.membership.members()) {
-			if (all || member.dataCentre().equals(shard.shard().dataCentre())) {
-				receivers.add(member.vm());
+			if (broadcast || member.dataCentre().equals(shard.shard().dataCentre())) {
+				recipients.add(member.vm());
 			}
 		}
-		receivers.forEach((receiver) -> this.peers.send(receiver, message));
+		recipients.forEach((recipient) -> this.peers.send(recipient, message));
 	}
 
 	/**
-	 * Told which shards to grant for, on the scheduler's thread.
+	 * Notified on the scheduler's thread when a shard is opened or closed for granting.
 	 */
 	interface Listener {
 
@@ -209,7 +220,7 @@
 	}
 
 	/**
-	 * Another daemon that announced itself as owner.
+	 * Another daemon that announced itself as owner of a shard.
 	 *
 	 * @param vm the daemon
 	 * @param epoch the epoch it announced
@@ -218,7 +229,7 @@
 	}
 
 	/**
-	 * Told of the lease of one shard.
+	 * Notified of changes of one shard's lease.
 	 */
 	private final class ShardListener implements Leases.LeaseListener {
 
@@ -235,7 +246,7 @@
 
 		@Override
 		public void lost(Lease lost) {
-			logger.infof("Lease %s lapsed; granting goes on until a greater epoch is heard of", this.lease);
+			logger.infof("Lease %s lapsed; continuing to grant until a greater epoch is announced", this.lease);
 		}
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The owner's side: exact accounts, load reports and grants of the endpoints owned here.
+ * The owner's side: accounting, load reports and grants of the endpoints that this daemon
+ * owns.
  */
 package org.bramleyscale.internal.endpoint.owner;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/owner/EndpointAccountTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/owner/EndpointAccountTests.java
@@ -21,8 +21,8 @@
 import org.bramleyscale.internal.endpoint.OwnerlessShare;
 
 /**
- * The account's invariant under random demands, lost messages, expiries, deaths and
- * holds.
+ * Checks the invariant of {@link EndpointAccount} under random demands, lost or late
+ * messages, expired grants, failed entries and holds.
  */
 class EndpointAccountTests {
 
@@ -34,7 +34,7 @@
 
 	private static final int LIFETIME_MILLIS = 2_000;
 
-	// One instance runs all tries, so each try begins with these anew.
+	// All tries run on one instance, so each try resets these fields.
 
 	private EndpointAccount account;
 
@@ -47,28 +47,28 @@
 	private long now;
 
 	@Property(tries = 500, seed = "42")
-	void grantsAndUseStayWithinTheCapacity(@ForAll @Size(min = 100, max = 200) List<@From("acts") Act> acts) {
-		begin();
-		for (Act act : acts) {
-			perform(act);
-			check();
+	void grantsAndUseStayWithinTheCapacity(@ForAll @Size(min = 100, max = 200) List<@From("actions") Action> actions) {
+		reset();
+		for (Action action : actions) {
+			perform(action);
+			checkInvariant();
 		}
 	}
 
-	private void begin() {
+	private void reset() {
 		this.account = new EndpointAccount(1, FLOOR, Long.MIN_VALUE);
 		this.entries.clear();
 		this.held = Amount.NONE;
 		this.collecting = Amount.NONE;
 		this.now = 0;
 		this.account.members(ENTRIES, ENTRIES);
-		this.account.reported(report());
+		this.account.reportReceived(report());
 		for (int i = 0; i < ENTRIES; i++) {
 			this.entries.add(new Entry(i));
 		}
 	}
 
-	private void check() {
+	private void checkInvariant() {
 		Amount live = this.account.live(this.now).plus(this.held);
 		Truth.assertWithMessage("live grants and holds %s", live).that(live.within(CAPACITY)).isTrue();
 		Amount floors = new Amount(cutOff(), cutOff() * FLOOR.kvTokens());
@@ -77,33 +77,33 @@
 	}
 
 	@Provide
-	Arbitrary<Act> acts() {
+	Arbitrary<Action> actions() {
 		return Combinators
 			.combine(Arbitraries.of(Kind.class), Arbitraries.integers().between(0, ENTRIES - 1),
 					Arbitraries.integers().between(0, 20), Arbitraries.longs().between(0, 120_000))
-			.as(Act::new);
+			.as(Action::new);
 	}
 
-	private void perform(Act act) {
-		Entry entry = this.entries.get(act.entry);
-		switch (act.kind) {
-			case DEMAND -> entry.receive(entry.demand(act));
-			case DEMAND_WITH_ANSWER_DELAYED -> entry.delay(entry.demand(act));
+	private void perform(Action action) {
+		Entry entry = this.entries.get(action.entry);
+		switch (action.kind) {
+			case DEMAND -> entry.receive(entry.demand(action));
+			case DEMAND_WITH_ANSWER_DELAYED -> entry.delay(entry.demand(action));
 			case PUSH -> push();
-			case ACQUIRE -> entry.acquire(act.size, act.kvTokens / 4);
+			case ACQUIRE -> entry.acquire(action.size, action.kvTokens / 4);
 			case ACQUIRE_ALL -> entry.acquireAll();
 			case ANSWER_ARRIVES_LATE -> entry.receiveDelayed();
 			case FINISH -> entry.finish();
-			case TIME_PASSES -> pass(act.size * 200_000_000L);
-			case COLLECT -> hold(this.held, new Amount(1, Math.min(act.kvTokens, 80_000)));
+			case TIME_PASSES -> advanceTime(action.size * 200_000_000L);
+			case COLLECT -> hold(this.held, new Amount(1, Math.min(action.kvTokens, 80_000)));
 			case PLACE -> place();
 			case RELEASE -> hold(Amount.NONE, this.collecting);
-			case REPORT -> this.account.reported(report());
-			default -> restart(act.entry);
+			case REPORT -> this.account.reportReceived(report());
+			default -> restart(action.entry);
 		}
 	}
 
-	private void pass(long nanos) {
+	private void advanceTime(long nanos) {
 		this.now += nanos;
 	}
 
@@ -111,7 +111,7 @@
 		for (EntryAccount account : this.account.unbalanced(this.now)) {
 			int index = Integer.parseInt(account.entry().vm().value().substring(1));
 			Amount amount = this.account.grantable(account, this.now);
-			long number = this.account.granted(account, amount, this.now);
+			long number = this.account.grantSent(account, amount, this.now);
 			this.entries.get(index).receive(new Received(number, amount, account.demandSentMillis()));
 		}
 	}
@@ -130,10 +130,10 @@
 	}
 
 	private void restart(int index) {
-		Entry dead = this.entries.get(index);
-		this.account.entries().died(dead.incarnation.vm(), this.now);
-		if (this.account.entries().all().stream().noneMatch((each) -> each.entry().equals(dead.incarnation))) {
-			this.entries.set(index, new Entry(index, dead.incarnation.start() + 1));
+		Entry failed = this.entries.get(index);
+		this.account.entries().removeFailed(failed.incarnation.vm(), this.now);
+		if (this.account.entries().all().stream().noneMatch((each) -> each.entry().equals(failed.incarnation))) {
+			this.entries.set(index, new Entry(index, failed.incarnation.start() + 1));
 		}
 	}
 
@@ -158,7 +158,7 @@
 
 	}
 
-	record Act(Kind kind, int entry, int size, long kvTokens) {
+	record Action(Kind kind, int entry, int size, long kvTokens) {
 	}
 
 	record Received(long number, Amount amount, long sentMillis) {
@@ -184,17 +184,17 @@
 			this.incarnation = new Incarnation(new VmId("v" + index), start);
 		}
 
-		private Received demand(Act act) {
+		private Received demand(Action action) {
 			long sentMillis = now() / 1_000_000;
 			Amount heldNow = live() ? this.grant.amount : Amount.NONE;
 			long number = (this.grant != null) ? this.grant.number : 0;
 			DemandItem item = new DemandItem(new EndpointId("e"), 1, 1, number, heldNow.slots(), heldNow.kvTokens(),
-					this.inUse.slots(), this.inUse.kvTokens(), 1 + act.size, act.kvTokens, act.kvTokens / 3, false, 0,
-					0, 0);
-			EntryAccount mine = EndpointAccountTests.this.account.demanded(this.incarnation, item, sentMillis,
-					LIFETIME_MILLIS, now());
-			Amount amount = EndpointAccountTests.this.account.grantable(mine, now());
-			long granted = EndpointAccountTests.this.account.granted(mine, amount, now());
+					this.inUse.slots(), this.inUse.kvTokens(), 1 + action.size, action.kvTokens, action.kvTokens / 3,
+					false, 0, 0, 0);
+			EntryAccount entryAccount = EndpointAccountTests.this.account.demandReceived(this.incarnation, item,
+					sentMillis, LIFETIME_MILLIS, now());
+			Amount amount = EndpointAccountTests.this.account.grantable(entryAccount, now());
+			long granted = EndpointAccountTests.this.account.grantSent(entryAccount, amount, now());
 			return new Received(granted, amount, sentMillis);
 		}
 
