--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/DemandCycle.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/DemandCycle.java
@@ -11,8 +11,8 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Sends each endpoint's demand when its turn has come: often while it is in use, seldom
- * while it is idle.
+ * Sends the periodic demands for each endpoint: often while it is in use, rarely while it
+ * is idle.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -45,14 +45,14 @@
 		long now = this.clock.nanos();
 		Set<EndpointEntry> contacts = this.directory.contacts();
 		int active = (int) this.directory.all().stream().filter((state) -> state.active(now)).count();
-		this.demands.pairs(active, this.membership.members().size());
-		List<EndpointState> due = new ArrayList<>();
+		this.demands.updatePeriod(active, this.membership.members().size());
+		List<EndpointState> dueStates = new ArrayList<>();
 		for (EndpointState state : this.directory.all()) {
 			if (due(state, contacts, now)) {
-				due.add(state);
+				dueStates.add(state);
 			}
 		}
-		this.demands.send(due);
+		this.demands.send(dueStates);
 	}
 
 	private boolean due(EndpointState state, Set<EndpointEntry> contacts, long now) {
@@ -60,8 +60,8 @@
 		if (state.active(now)) {
 			return since >= this.demands.periodMillis() * 1_000_000L - TICK.toNanos() / 2;
 		}
-		if (!state.resigned()) {
-			state.held().resign();
+		if (!state.idle()) {
+			state.held().returnGrant();
 			return true;
 		}
 		return contacts.contains(state.entry()) && since >= this.settings.idlePeriod().toNanos();
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/DemandSender.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/DemandSender.java
@@ -19,7 +19,7 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Sends demands, batched by owner: in their period, and at once where work waits.
+ * Sends demands, batched by owner: periodically, and without delay where requests wait.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -58,18 +58,18 @@
 		return this.periodMillis;
 	}
 
-	void pairs(int active, int members) {
+	void updatePeriod(int active, int members) {
 		this.periodMillis = this.settings.periodMillis(active, members);
 	}
 
 	/**
-	 * Sends a demand for an endpoint at the end of the turn, or later if such demands
-	 * have lately been many.
+	 * Sends a demand for an endpoint in a scheduled flush: without delay, or later if
+	 * such demands have recently been frequent.
 	 * @param state the endpoint
 	 */
-	void soon(EndpointState state) {
+	void sendSoon(EndpointState state) {
 		if (this.urgent.add(state)) {
-			flushWithin(state.urgent().waitNanos(this.scheduler.nanos()));
+			flushWithin(state.urgentDemands().waitNanos(this.scheduler.nanos()));
 		}
 	}
 
@@ -110,15 +110,15 @@
 		this.flushing = false;
 		long now = this.scheduler.nanos();
 		List<EndpointState> due = new ArrayList<>();
-		List<EndpointState> early = new ArrayList<>();
+		List<EndpointState> deferred = new ArrayList<>();
 		for (EndpointState state : this.urgent) {
-			boolean ready = state.urgent().waitNanos(now) <= 0;
-			(ready ? due : early).add(state);
+			boolean sendable = state.urgentDemands().waitNanos(now) <= 0;
+			(sendable ? due : deferred).add(state);
 		}
-		due.forEach((state) -> state.urgent().acted(now, this.periodMillis * 1_000_000L));
+		due.forEach((state) -> state.urgentDemands().acted(now, this.periodMillis * 1_000_000L));
 		this.urgent.removeAll(Set.copyOf(due));
 		send(due);
-		early.forEach((state) -> flushWithin(state.urgent().waitNanos(now)));
+		deferred.forEach((state) -> flushWithin(state.urgentDemands().waitNanos(now)));
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointDirectory.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointDirectory.java
@@ -23,7 +23,7 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * The endpoints that an entry knows, with their shards and owners.
+ * The endpoints that this entry knows, with their shards and owners.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -40,33 +40,33 @@
 
 	private final Function<EndpointId, EndpointLearner> learners;
 
-	private final Consumer<EndpointState> contacted;
+	private final Consumer<EndpointState> onAdded;
 
-	private final Subsets subsets;
+	private final EndpointSubsets subsets;
 
 	private final Map<EndpointId, EndpointState> states = new LinkedHashMap<>();
 
 	private ShardMap shards;
 
 	/**
-	 * Begins with no endpoint.
+	 * Creates a directory without endpoints.
 	 * @param clock the time
 	 * @param configuration the configuration
 	 * @param membership the daemons
 	 * @param settings the settings
-	 * @param learners makes the learner of one endpoint
-	 * @param contacted called with each endpoint that becomes known
+	 * @param learners creates the learner of an endpoint
+	 * @param onAdded called with each endpoint that is added
 	 */
 	EndpointDirectory(Clock clock, ConfigurationSource configuration, MembershipView membership,
 			EndpointSettings settings, Function<EndpointId, EndpointLearner> learners,
-			Consumer<EndpointState> contacted) {
+			Consumer<EndpointState> onAdded) {
 		this.clock = clock;
 		this.configuration = configuration;
 		this.membership = membership;
 		this.settings = settings;
 		this.learners = learners;
-		this.contacted = contacted;
-		this.subsets = new Subsets(settings, membership.self().vm(), membership.dataCentre());
+		this.onAdded = onAdded;
+		this.subsets = new EndpointSubsets(settings, membership.self().vm(), membership.dataCentre());
 		remap();
 	}
 
@@ -79,30 +79,31 @@
 	}
 
 	/**
-	 * The endpoints of a service that this entry uses; the service counts as in use.
+	 * Returns the endpoints of a service that this entry uses, and marks the service as
+	 * in use.
 	 * @param service the service
 	 * @return the endpoints in a stable order
 	 */
 	List<EndpointState> use(ServiceName service) {
 		List<EndpointState> result = new ArrayList<>();
 		for (EndpointEntry entry : this.subsets.use(service, this.clock.nanos())) {
-			result.add(contact(entry));
+			result.add(findOrAdd(entry));
 		}
 		return result;
 	}
 
 	/**
-	 * Makes known all endpoints worth a contact while idle.
+	 * Adds and returns the endpoints to stay in contact with while they are idle.
 	 * @return the endpoints
 	 */
 	Set<EndpointEntry> contacts() {
 		Set<EndpointEntry> contacts = this.subsets.contacts(this.clock.nanos());
-		contacts.forEach(this::contact);
+		contacts.forEach(this::findOrAdd);
 		return contacts;
 	}
 
 	/**
-	 * Takes over the configuration in force.
+	 * Applies the current configuration.
 	 * @return the endpoints that it newly marks as leaving
 	 */
 	List<EndpointState> refresh() {
@@ -111,10 +112,10 @@
 		remap();
 		List<EndpointState> leaving = new ArrayList<>();
 		for (EndpointState state : this.states.values()) {
-			boolean before = state.leaving();
+			boolean wasLeaving = state.leaving();
 			Optional<EndpointEntry> entry = current.endpoint(state.entry().name());
-			entry.ifPresent((newer) -> state.update(newer, this.shards.shard(newer)));
-			if (!before && state.leaving()) {
+			entry.ifPresent((latest) -> state.update(latest, this.shards.shard(latest)));
+			if (!wasLeaving && state.leaving()) {
 				leaving.add(state);
 			}
 		}
@@ -128,7 +129,7 @@
 	}
 
 	/**
-	 * How many entries may use an endpoint.
+	 * Returns how many entries may use an endpoint.
 	 * @return the number, at least 1
 	 */
 	int sharing() {
@@ -136,8 +137,8 @@
 	}
 
 	/**
-	 * The daemon that gets the demands for an endpoint: the owner heard of last, or the
-	 * one that should own it.
+	 * Returns the recipient of the demands for an endpoint: the owner last announced or
+	 * observed, or else the daemon that should own it.
 	 * @param state the endpoint
 	 * @return the daemon, or empty if there is none
 	 */
@@ -146,7 +147,7 @@
 		return known.isPresent() ? known : this.shards.owner(state.shard());
 	}
 
-	private EndpointState contact(EndpointEntry entry) {
+	private EndpointState findOrAdd(EndpointEntry entry) {
 		EndpointState known = this.states.get(entry.name());
 		if (known != null) {
 			return known;
@@ -155,7 +156,7 @@
 		EndpointState state = new EndpointState(entry, this.shards.shard(entry), this.learners.apply(entry.name()),
 				floor);
 		this.states.put(entry.name(), state);
-		this.contacted.accept(state);
+		this.onAdded.accept(state);
 		return state;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointLearner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointLearner.java
@@ -5,7 +5,7 @@
 import org.bramleyscale.internal.endpoint.Observation;
 
 /**
- * What an entry learns of one endpoint's speed and health from its own attempts.
+ * Learns one endpoint's speed and health from this entry's own attempts.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -14,49 +14,50 @@
 
 	/**
 	 * Learns from one attempt.
-	 * @param observation what was seen
+	 * @param observation the outcome and timings of the attempt
 	 * @param now the monotonic time in nanoseconds
 	 */
 	void observed(Observation observation, long now);
 
 	/**
-	 * Learns that an attempt has brought no first token yet.
-	 * @param waited how long the attempt has been there
-	 * @param predicted the time to first token predicted at sending
+	 * Learns that an attempt has not returned its first token yet.
+	 * @param waited how long ago the attempt was sent
+	 * @param predicted the time to first token predicted when it was sent
 	 */
 	default void overdue(Duration waited, Duration predicted) {
 	}
 
 	/**
-	 * The learnt speed of prompt computation.
+	 * Returns the learnt prefill speed.
 	 * @return tokens a second, or 0 if unknown
 	 */
 	double prefillTokensPerSecond();
 
 	/**
-	 * The learnt time between tokens.
+	 * Returns the learnt time between tokens.
 	 * @return seconds, or 0 if unknown
 	 */
 	double stepSeconds();
 
 	/**
-	 * By how much the endpoint lately answered later than predicted.
+	 * Returns by how much the endpoint recently answered later than predicted.
 	 * @param now the monotonic time in nanoseconds
 	 * @return seconds; never negative
 	 */
 	double penaltySeconds(long now);
 
 	/**
-	 * Whether the endpoint must get no work from this entry.
+	 * Returns whether the endpoint must not receive requests from this entry.
 	 * @param now the monotonic time in nanoseconds
 	 * @return true if it is ejected
 	 */
 	boolean ejected(long now);
 
 	/**
-	 * Whether the endpoint should get little work, having been ejected lately.
+	 * Returns whether the endpoint should receive few requests because it was recently
+	 * ejected.
 	 * @param now the monotonic time in nanoseconds
-	 * @return true while it is being re-admitted
+	 * @return true while it is being readmitted
 	 */
 	boolean readmitting(long now);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointPermit.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointPermit.java
@@ -5,7 +5,7 @@
 import org.bramleyscale.internal.endpoint.Permit;
 
 /**
- * A part of a grant in use; see {@link Permit}.
+ * A permit for one request, which uses a part of a grant; see {@link Permit}.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -14,23 +14,23 @@
 
 	private final EndpointEntry endpoint;
 
-	private final OwnUse use;
+	private final LocalUse use;
 
-	private final OwnUse.Prefill prefill;
+	private final LocalUse.Prefill prefill;
 
 	private final Amount amount;
 
-	private final Runnable closed;
+	private final Runnable onClosed;
 
 	private final int generation;
 
 	private boolean open = true;
 
-	EndpointPermit(EndpointState state, Amount amount, int promptTokens, long now, Runnable closed) {
+	EndpointPermit(EndpointState state, Amount amount, int promptTokens, long now, Runnable onClosed) {
 		this.endpoint = state.entry();
 		this.use = state.use();
 		this.amount = amount;
-		this.closed = closed;
+		this.onClosed = onClosed;
 		this.generation = this.use.generation();
 		this.prefill = this.use.begin(amount, promptTokens, now);
 	}
@@ -42,7 +42,7 @@
 
 	@Override
 	public void firstToken() {
-		this.use.computed(this.prefill);
+		this.use.prefillCompleted(this.prefill);
 	}
 
 	@Override
@@ -51,9 +51,9 @@
 			return;
 		}
 		this.open = false;
-		this.use.computed(this.prefill);
+		this.use.prefillCompleted(this.prefill);
 		this.use.end(this.amount, this.generation);
-		this.closed.run();
+		this.onClosed.run();
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointState.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointState.java
@@ -18,10 +18,11 @@
 import org.bramleyscale.internal.routing.Candidate;
 
 /**
- * What an entry knows of one endpoint and has there.
+ * This entry's state of one endpoint: its grant, requests in flight, latest report and
+ * demands.
  *
  * <p>
- * Invariants: no permit is given beyond the share in force; the epoch of the grants
+ * Invariants: no permit is issued beyond the current share; the epoch of the grants
  * applied for a shard never decreases. Confined to the scheduler's thread.
  */
 final class EndpointState {
@@ -34,11 +35,11 @@
 
 	private final HeldShare held;
 
-	private final OwnUse use = new OwnUse();
+	private final LocalUse use = new LocalUse();
 
-	private final Pacing urgent = new Pacing();
+	private final Pacing urgentDemands = new Pacing();
 
-	private final UnmetWork unmet = new UnmetWork();
+	private final UnmetDemand unmet = new UnmetDemand();
 
 	private EndpointEntry entry;
 
@@ -48,7 +49,7 @@
 
 	private long reportTakenAt;
 
-	private boolean ownerSaysLeaving;
+	private boolean ownerReportsLeaving;
 
 	private VmId owner;
 
@@ -73,20 +74,20 @@
 		return this.learner;
 	}
 
-	OwnUse use() {
+	LocalUse use() {
 		return this.use;
 	}
 
-	UnmetWork unmet() {
+	UnmetDemand unmet() {
 		return this.unmet;
 	}
 
 	/**
-	 * How demands sent out of their turn are spaced out.
+	 * Returns the pacing of demands that are sent outside their period.
 	 * @return the pacing
 	 */
-	Pacing urgent() {
-		return this.urgent;
+	Pacing urgentDemands() {
+		return this.urgentDemands;
 	}
 
 	HeldShare held() {
@@ -98,7 +99,8 @@
 	}
 
 	/**
-	 * The daemon whose grant was applied last, or that another named as owner.
+	 * Returns the daemon whose grant was applied last, or that was announced as owner
+	 * since.
 	 * @return the owner if one is known
 	 */
 	Optional<VmId> knownOwner() {
@@ -109,16 +111,16 @@
 		this.owner = vm;
 	}
 
-	void update(EndpointEntry newer, Shard newShard) {
-		this.entry = newer;
+	void update(EndpointEntry latest, Shard newShard) {
+		this.entry = latest;
 		if (!newShard.equals(this.shard)) {
 			this.shard = newShard;
-			this.held.moved();
+			this.held.resetEpoch();
 			this.owner = null;
 		}
 	}
 
-	void touch(long now) {
+	void markUsed(long now) {
 		this.usedAt = now;
 	}
 
@@ -130,12 +132,12 @@
 		return this.use.inUse().slots() > 0;
 	}
 
-	boolean resigned() {
+	boolean idle() {
 		return !this.held.granted() && this.use.inUse().slots() == 0;
 	}
 
 	boolean leaving() {
-		return this.entry.leaving() || this.ownerSaysLeaving;
+		return this.entry.leaving() || this.ownerReportsLeaving;
 	}
 
 	boolean offers(ModelName model) {
@@ -153,36 +155,38 @@
 	}
 
 	/**
-	 * What may be in flight here in all.
+	 * Returns the most that this entry may have in flight at the endpoint.
 	 * @param now the time
 	 * @param sharing how many entries may use the endpoint
-	 * @return the share in force
+	 * @return the current share
 	 */
 	Amount share(long now, int sharing) {
 		return this.held.amount(now, OwnerlessShare.equalSplit(capacity(), sharing));
 	}
 
 	/**
-	 * Orders endpoints by the KV tokens left here, most first.
+	 * Orders endpoints by the KV tokens, then the slots, that this entry has remaining
+	 * there, most first.
 	 * @param now the time
 	 * @param sharing how many entries may use each endpoint
-	 * @return the order
+	 * @return the comparator
 	 */
-	static Comparator<EndpointState> byRoom(long now, int sharing) {
-		return Comparator.comparingLong((EndpointState state) -> -state.left(now, sharing).kvTokens())
-			.thenComparingInt((state) -> -state.left(now, sharing).slots());
+	static Comparator<EndpointState> byRemaining(long now, int sharing) {
+		return Comparator.comparingLong((EndpointState state) -> -state.remaining(now, sharing).kvTokens())
+			.thenComparingInt((state) -> -state.remaining(now, sharing).slots());
 	}
 
-	boolean couldEverHold(long kvTokens) {
+	boolean fitsCapacity(long kvTokens) {
 		return this.report == null || kvTokens <= this.report.kvCapacity();
 	}
 
-	Amount left(long now, int sharing) {
+	Amount remaining(long now, int sharing) {
 		return share(now, sharing).minus(this.use.inUse()).max(Amount.NONE);
 	}
 
 	/**
-	 * Applies a grant unless a newer one was applied before.
+	 * Applies a grant unless it belongs to another shard or a newer one was already
+	 * applied.
 	 * @param item the grant
 	 * @param from the owner
 	 * @param expiresAt when it expires
@@ -195,16 +199,16 @@
 			return false;
 		}
 		this.owner = from;
-		this.use.collecting(item.collection());
-		this.ownerSaysLeaving = item.leaving();
+		this.use.updateCollection(item.collection());
+		this.ownerReportsLeaving = item.leaving();
 		if (item.report() != null) {
-			reported(item.report(), item.leaving(), now);
+			reportReceived(item.report(), item.leaving(), now);
 		}
 		return true;
 	}
 
 	DemandItem demand(long now) {
-		this.held.demanded(now);
+		this.held.demandSent(now);
 		Amount live = this.held.live(now);
 		Amount inUse = this.use.inUse();
 		Amount wanted = wanted(now);
@@ -215,17 +219,17 @@
 	}
 
 	Candidate candidate(long now, int sharing) {
-		Amount left = left(now, sharing);
-		LoadReport known = this.report;
-		long age = (known != null) ? Math.max(0, now - this.reportTakenAt) : -1;
-		int running = (known != null) ? known.running() : 0;
-		int waiting = (known != null) ? known.waiting() : 0;
-		long queued = (known != null) ? known.queuedPrefillTokens() : 0;
-		long kvUsed = (known != null) ? known.kvUsed() : 0;
+		Amount remaining = remaining(now, sharing);
+		LoadReport latest = this.report;
+		long age = (latest != null) ? Math.max(0, now - this.reportTakenAt) : -1;
+		int running = (latest != null) ? latest.running() : 0;
+		int waiting = (latest != null) ? latest.waiting() : 0;
+		long queued = (latest != null) ? latest.queuedPrefillTokens() : 0;
+		long kvUsed = (latest != null) ? latest.kvUsed() : 0;
 		Amount capacity = capacity();
 		return new Candidate(this.entry.name(), age, running, waiting, capacity.slots(), queued, kvUsed,
-				capacity.kvTokens(), this.use.uncoveredPrefillTokens(), this.use.inUse().slots(), left.slots(),
-				left.kvTokens(), this.learner.prefillTokensPerSecond(), this.learner.stepSeconds(),
+				capacity.kvTokens(), this.use.uncoveredPrefillTokens(), this.use.inUse().slots(), remaining.slots(),
+				remaining.kvTokens(), this.learner.prefillTokensPerSecond(), this.learner.stepSeconds(),
 				this.learner.penaltySeconds(now), this.learner.readmitting(now));
 	}
 
@@ -244,14 +248,14 @@
 		return new Amount(slots, kv);
 	}
 
-	private void reported(GrantedReport granted, boolean leaving, long now) {
+	private void reportReceived(GrantedReport granted, boolean leaving, long now) {
 		boolean sameBoot = this.report != null && this.report.boot() == granted.boot();
 		if (sameBoot && granted.sequence() < this.report.sequence()) {
 			return;
 		}
 		this.report = granted.restore(this.entry.name(), leaving, this.report);
 		this.reportTakenAt = now - granted.ageMillis() * 1_000_000L;
-		this.use.reported(this.reportTakenAt);
+		this.use.reportReceived(this.reportTakenAt);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/Subsets.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointSubsets.java
@@ -19,25 +19,25 @@
 import org.bramleyscale.internal.endpoint.Rendezvous;
 
 /**
- * Which endpoints of each service this entry uses.
+ * Selects the endpoints of each service that this entry uses.
  *
  * <p>
- * A fleet of thousands of endpoints is more than an entry can hold grants for. Each entry
- * uses a subset, two thirds of it from its own data centre where that has enough. The
- * more services are in use here, the smaller the subsets. Invariant: of the subsets of
- * one data centre's entries, as many hold any of its endpoints as any other, or one less;
+ * An entry cannot hold grants for all endpoints of a fleet of thousands. Each entry uses
+ * a subset, two thirds of it from its own data centre if that has enough endpoints. The
+ * more services are in use here, the smaller the subsets. Invariant: the numbers of the
+ * entries of one data centre that use any two of its endpoints differ by at most one;
  * subsets drawn by hashing would leave some endpoints without any entry. Confined to the
  * scheduler's thread.
  */
-final class Subsets {
+final class EndpointSubsets {
 
 	private static final Comparator<VmId> BY_NAME = Comparator.comparing(VmId::value);
 
 	private static final long SERVICE_IN_USE_FOR = Duration.ofSeconds(60).toNanos();
 
-	private static final int SMALLEST = 3;
+	private static final int MIN_SIZE = 3;
 
-	private static final float LOCAL_PART = 2 / 3f;
+	private static final float LOCAL_SHARE = 2 / 3f;
 
 	private final EndpointSettings settings;
 
@@ -47,7 +47,7 @@
 
 	private final Map<ServiceName, Long> usedAt = new HashMap<>();
 
-	private final Map<ServiceName, List<EndpointEntry>> chosen = new HashMap<>();
+	private final Map<ServiceName, List<EndpointEntry>> subsets = new HashMap<>();
 
 	private Configuration configuration = Configuration.NONE;
 
@@ -57,16 +57,16 @@
 
 	private int maxPairs;
 
-	Subsets(EndpointSettings settings, VmId self, DataCentre dataCentre) {
+	EndpointSubsets(EndpointSettings settings, VmId self, DataCentre dataCentre) {
 		this.settings = settings;
 		this.self = self;
 		this.dataCentre = dataCentre;
 		this.size = settings.subsetSize();
 	}
 
-	void update(Configuration newer, int members) {
-		this.configuration = newer;
-		this.entries = newer.register()
+	void update(Configuration latest, int members) {
+		this.configuration = latest;
+		this.entries = latest.register()
 			.vms()
 			.stream()
 			.filter((vm) -> vm.dataCentre().equals(this.dataCentre))
@@ -74,53 +74,54 @@
 			.sorted(BY_NAME)
 			.toList();
 		this.maxPairs = this.settings.maxPairs(members);
-		this.chosen.clear();
+		this.subsets.clear();
 	}
 
 	/**
-	 * The endpoints of a service that this entry uses.
+	 * Returns the endpoints of a service that this entry uses, and marks the service as
+	 * in use.
 	 * @param service the service
 	 * @param now the time
 	 * @return the endpoints in a stable order
 	 */
 	List<EndpointEntry> use(ServiceName service, long now) {
-		Long before = this.usedAt.put(service, now);
-		if (before == null) {
+		Long previousUse = this.usedAt.put(service, now);
+		if (previousUse == null) {
 			resize(now);
 		}
-		return of(service);
+		return subset(service);
 	}
 
-	List<EndpointEntry> of(ServiceName service) {
-		return this.chosen.computeIfAbsent(service, this::choose);
+	List<EndpointEntry> subset(ServiceName service) {
+		return this.subsets.computeIfAbsent(service, this::choose);
 	}
 
 	/**
-	 * All endpoints worth a contact while idle: everything if the fleet is small, else
-	 * those of the services in use.
+	 * Returns the endpoints to stay in contact with while they are idle: all subsets if
+	 * the fleet is small, else those of the services in use.
 	 * @param now the time
 	 * @return the endpoints
 	 */
 	Set<EndpointEntry> contacts(long now) {
-		this.usedAt.values().removeIf((used) -> now - used > SERVICE_IN_USE_FOR);
+		this.usedAt.values().removeIf((lastUse) -> now - lastUse > SERVICE_IN_USE_FOR);
 		resize(now);
 		Set<EndpointEntry> result = new LinkedHashSet<>();
 		if (this.configuration.register().endpoints().size() <= this.maxPairs) {
-			this.configuration.register().services().forEach((service) -> result.addAll(of(service.name())));
+			this.configuration.register().services().forEach((service) -> result.addAll(subset(service.name())));
 		}
-		this.usedAt.keySet().forEach((service) -> result.addAll(of(service)));
+		this.usedAt.keySet().forEach((service) -> result.addAll(subset(service)));
 		return result;
 	}
 
 	private void resize(long now) {
 		int inUse = Math.max(1, this.usedAt.size());
-		int affordable = Math.max(SMALLEST, this.maxPairs / inUse);
-		int wanted = Math.min(this.settings.subsetSize(), affordable);
+		int maxSize = Math.max(MIN_SIZE, this.maxPairs / inUse);
+		int limitedSize = Math.min(this.settings.subsetSize(), maxSize);
 		boolean all = this.configuration.register().endpoints().size() <= this.maxPairs;
-		int next = all ? this.settings.subsetSize() : wanted;
-		if (next != this.size) {
-			this.size = next;
-			this.chosen.clear();
+		int newSize = all ? this.settings.subsetSize() : limitedSize;
+		if (newSize != this.size) {
+			this.size = newSize;
+			this.subsets.clear();
 		}
 	}
 
@@ -130,7 +131,7 @@
 			return all;
 		}
 		List<EndpointEntry> local = all.stream().filter((entry) -> entry.dataCentre().equals(this.dataCentre)).toList();
-		int localCount = Math.min(local.size(), Math.round(this.size * LOCAL_PART));
+		int localCount = Math.min(local.size(), Math.round(this.size * LOCAL_SHARE));
 		List<EndpointEntry> remote = new ArrayList<>(all);
 		remote.removeAll(Set.copyOf(local));
 		int remoteCount = Math.min(remote.size(), this.size - localCount);
@@ -140,9 +141,8 @@
 		return List.copyOf(result);
 	}
 
-	// The entry's window on the endpoints in a hashed order; the windows of all entries
-	// of
-	// its data centre begin at equal distances.
+	// Returns the entry's window on the endpoints in hashed order. The windows of all
+	// entries of its data centre start at equal distances.
 	private List<EndpointEntry> window(ServiceName service, List<EndpointEntry> endpoints, int count) {
 		if (endpoints.size() <= count) {
 			return endpoints;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/GrantReceiver.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/GrantReceiver.java
@@ -12,11 +12,12 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Applies what owners send.
+ * Applies grants, redirects and ownership announcements.
  *
  * <p>
- * Invariant: a grant's expiry is counted from the sending of the demand it answers, so it
- * ends here before it ends in the owner's account. Confined to the scheduler's thread.
+ * Invariant: a grant's lifetime is counted from when the demand that it answers was sent,
+ * so it expires here before it expires in the owner's account. Confined to the
+ * scheduler's thread.
  */
 final class GrantReceiver {
 
@@ -28,15 +29,15 @@
 
 	private final DemandSender demands;
 
-	private final Runnable room;
+	private final Runnable onRoom;
 
 	private final Counter ignored;
 
-	GrantReceiver(Clock clock, EndpointDirectory directory, DemandSender demands, Runnable room, Counter ignored) {
+	GrantReceiver(Clock clock, EndpointDirectory directory, DemandSender demands, Runnable onRoom, Counter ignored) {
 		this.clock = clock;
 		this.directory = directory;
 		this.demands = demands;
-		this.room = room;
+		this.onRoom = onRoom;
 		this.ignored = ignored;
 	}
 
@@ -47,15 +48,15 @@
 	}
 
 	private void granted(Incarnation from, Grant grant) {
-		boolean more = false;
+		boolean grown = false;
 		for (GrantItem item : grant.items()) {
 			EndpointState state = this.directory.find(item.endpoint()).orElse(null);
 			if (state != null) {
-				more |= apply(from, grant, item, state);
+				grown |= apply(from, grant, item, state);
 			}
 		}
-		if (more) {
-			this.room.run();
+		if (grown) {
+			this.onRoom.run();
 		}
 	}
 
@@ -70,9 +71,9 @@
 		}
 		Amount after = state.share(now, this.directory.sharing());
 		if (!before.within(after)) {
-			// Another entry waits for what was taken back; it gets it once this entry has
-			// confirmed the smaller grant.
-			this.demands.soon(state);
+			// Another entry waits for the revoked part and receives it once this entry
+			// has acknowledged the smaller grant.
+			this.demands.sendSoon(state);
 		}
 		return !after.within(before);
 	}
@@ -82,7 +83,7 @@
 			.filter((state) -> redirect.epoch() >= state.held().epoch())
 			.ifPresent((state) -> {
 				state.knownOwner(redirect.owner());
-				this.demands.soon(state);
+				this.demands.sendSoon(state);
 			});
 	}
 
@@ -91,7 +92,7 @@
 		for (EndpointState state : this.directory.all()) {
 			if (state.shard().equals(shard) && announcement.epoch() > state.held().epoch()) {
 				state.knownOwner(from.vm());
-				this.demands.soon(state);
+				this.demands.sendSoon(state);
 			}
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/GrantedEndpointPool.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/GrantedEndpointPool.java
@@ -29,13 +29,13 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * An endpoint pool that works within the grants of the endpoints' owners.
+ * An endpoint pool that issues permits within the grants of the endpoints' owners.
  *
  * <p>
- * Invariants: permits never exceed the share in force when they are given; a grant's
- * expiry is counted from the sending of the demand it answers, so it ends here before it
- * ends in the owner's account; grants of an older epoch change nothing. Confined to the
- * scheduler's thread.
+ * Invariants: permits never exceed the share that is current when they are issued; a
+ * grant's lifetime is counted from when the demand that it answers was sent, so it
+ * expires here before it expires in the owner's account; grants of an older epoch are
+ * ignored. Confined to the scheduler's thread.
  */
 public final class GrantedEndpointPool implements EndpointPool, KnownEndpoints, StateDump {
 
@@ -57,13 +57,13 @@
 
 	private final WaitingRequests waiting;
 
-	private final FirstAnswers firstAnswers;
+	private final FirstAnswerTimer firstAnswerTimer;
 
 	private final Counter refusedPermits;
 
 	private final List<Runnable> roomListeners = new ArrayList<>();
 
-	private Cancellable ticking;
+	private Cancellable demandTask;
 
 	private boolean stopped;
 
@@ -74,14 +74,14 @@
 		this.peers = builder.peers;
 		MetricRegistry metrics = builder.metrics;
 		this.directory = new EndpointDirectory(this.scheduler, this.configuration, this.membership, builder.settings,
-				builder.learners, this::contacted);
+				builder.learners, this::endpointAdded);
 		this.demands = new DemandSender(this.scheduler, this.peers, builder.settings, this.directory::ownerOf,
 				metrics.counter("endpoint.pool.demands"));
-		this.grants = new GrantReceiver(this.scheduler, this.directory, this.demands, this::room,
+		this.grants = new GrantReceiver(this.scheduler, this.directory, this.demands, this::notifyRoomListeners,
 				metrics.counter("endpoint.pool.grants.ignored"));
 		this.cycle = new DemandCycle(this.scheduler, this.directory, this.demands, this.membership, builder.settings);
 		this.waiting = new WaitingRequests(this.scheduler, this.directory, this.demands);
-		this.firstAnswers = new FirstAnswers(this.scheduler, this::room);
+		this.firstAnswerTimer = new FirstAnswerTimer(this.scheduler, this::notifyRoomListeners);
 		this.refusedPermits = metrics.counter("endpoint.pool.permits.refused");
 		metrics.gauge("endpoint.pool.endpoints", () -> () -> this.directory.all().size());
 	}
@@ -91,19 +91,19 @@
 	}
 
 	/**
-	 * Begins to follow the configuration and to send demands.
+	 * Starts following the configuration and sending demands.
 	 */
 	public void start() {
 		this.grants.listen(this.peers);
 		this.configuration.onChange((version) -> refresh());
 		this.membership.onChange(this.directory::remap);
-		this.ticking = this.scheduler.repeat(DemandCycle.TICK, this.cycle::run);
+		this.demandTask = this.scheduler.repeat(DemandCycle.TICK, this.cycle::run);
 		refresh();
 	}
 
 	public void stop() {
 		this.stopped = true;
-		this.ticking.cancel();
+		this.demandTask.cancel();
 	}
 
 	@Override
@@ -113,14 +113,14 @@
 		List<Candidate> healthy = new ArrayList<>();
 		List<Candidate> ejected = new ArrayList<>();
 		for (EndpointState state : this.directory.use(service)) {
-			touch(state, now);
+			markUsed(state, now);
 			if (state.leaving() || !state.offers(model)) {
 				continue;
 			}
 			List<Candidate> list = state.learner().ejected(now) ? ejected : healthy;
 			list.add(state.candidate(now, sharing));
 		}
-		// With every endpoint ejected, a late answer is still better than none.
+		// If every endpoint is ejected, a late answer is still better than none.
 		return healthy.isEmpty() ? ejected : healthy;
 	}
 
@@ -134,21 +134,21 @@
 			return Optional.empty();
 		}
 		long now = this.scheduler.nanos();
-		touch(state, now);
+		markUsed(state, now);
 		Amount amount = new Amount(1, kvTokens);
-		if (!amount.within(state.left(now, this.directory.sharing()))) {
+		if (!amount.within(state.remaining(now, this.directory.sharing()))) {
 			this.refusedPermits.inc();
-			state.unmet().mention(kvTokens, now);
-			this.demands.soon(state);
+			state.unmet().add(kvTokens, now);
+			this.demands.sendSoon(state);
 			return Optional.empty();
 		}
 		state.unmet().clear();
-		return Optional.of(new EndpointPermit(state, amount, promptTokens, now, this::room));
+		return Optional.of(new EndpointPermit(state, amount, promptTokens, now, this::notifyRoomListeners));
 	}
 
 	@Override
 	public void wanted(ServiceName service, ModelName model, long kvTokens) {
-		this.waiting.wanted(service, model, kvTokens);
+		this.waiting.requestRoom(service, model, kvTokens);
 	}
 
 	@Override
@@ -207,30 +207,31 @@
 			return;
 		}
 		List<EndpointState> leaving = this.directory.refresh();
-		// The owner's configuration may be older; it then tells the other entries.
+		// The owner's configuration may be older. The demand informs the owner, which
+		// then notifies the other entries.
 		this.demands.send(leaving);
-		room();
+		notifyRoomListeners();
 	}
 
-	private void contacted(EndpointState state) {
-		this.demands.soon(state);
+	private void endpointAdded(EndpointState state) {
+		this.demands.sendSoon(state);
 	}
 
-	private void touch(EndpointState state, long now) {
+	private void markUsed(EndpointState state, long now) {
 		boolean wasActive = state.active(now);
-		state.touch(now);
+		state.markUsed(now);
 		if (!wasActive) {
-			this.demands.soon(state);
-			this.firstAnswers.await();
+			this.demands.sendSoon(state);
+			this.firstAnswerTimer.await();
 		}
 	}
 
-	private void room() {
+	private void notifyRoomListeners() {
 		this.roomListeners.forEach(Runnable::run);
 	}
 
 	/**
-	 * Collects what the pool needs; not safe for use by multiple threads.
+	 * Builds a {@link GrantedEndpointPool}. Not safe for use by multiple threads.
 	 */
 	public static final class Builder {
 
@@ -246,7 +247,7 @@
 
 		private EndpointSettings settings = EndpointSettings.defaults();
 
-		private Function<EndpointId, EndpointLearner> learners = (endpoint) -> new AverageLearner();
+		private Function<EndpointId, EndpointLearner> learners = (endpoint) -> new MovingAverageLearner();
 
 		private Builder() {
 		}
@@ -287,8 +288,8 @@
 		}
 
 		/**
-		 * Sets what learns of each endpoint's speed and health.
-		 * @param value makes the learner of one endpoint
+		 * Sets the factory of the learners of each endpoint's speed and health.
+		 * @param value creates the learner of an endpoint
 		 * @return this builder
 		 */
 		public Builder learners(Function<EndpointId, EndpointLearner> value) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/HeldGrant.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/HeldGrant.java
@@ -3,11 +3,11 @@
 import org.bramleyscale.internal.endpoint.Amount;
 
 /**
- * A grant as the entry holds it.
+ * A grant that this entry holds for one endpoint.
  *
  * @param epoch the owner's epoch
  * @param number the grant's number in that epoch
- * @param amount what may be used, requests in flight included
+ * @param amount the capacity that may be used, including requests in flight
  * @param expiresAt when it expires, by the entry's monotonic clock
  * @param lifetime its lifetime in nanoseconds
  */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/HeldShare.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/HeldShare.java
@@ -7,22 +7,26 @@
 import org.bramleyscale.internal.endpoint.OwnerlessShare;
 
 /**
- * The part of one endpoint that this entry may use, with or without a live grant.
+ * The part of one endpoint's capacity that this entry may use, with or without an
+ * unexpired grant.
  *
  * <p>
- * Invariants: the epoch never decreases within a shard, nor the number of the grants
- * within an epoch. Confined to the scheduler's thread.
+ * Invariants: the epoch never decreases within a shard, and the grant number never
+ * decreases within an epoch. Confined to the scheduler's thread.
  */
 final class HeldShare {
 
-	/** How long the first request of an entry waits for the owner's answer. */
-	static final Duration FIRST_ANSWER = Duration.ofMillis(50);
+	/** How long an entry's first request for an endpoint waits for the owner's answer. */
+	static final Duration FIRST_ANSWER_TIMEOUT = Duration.ofMillis(50);
 
-	/** What was heard from the owner so lately still tells that work may begin here. */
-	private static final long HEARD_LATELY = Duration.ofSeconds(3).toNanos();
+	/**
+	 * Within this time of the owner's last message, requests may start without waiting
+	 * for a new answer.
+	 */
+	private static final long RECENT_CONTACT = Duration.ofSeconds(3).toNanos();
 
-	/** After so long without a demand, a former silence of the owner means nothing. */
-	private static final long FORGOTTEN = Duration.ofSeconds(5).toNanos();
+	/** After this time without a demand, earlier unanswered demands no longer count. */
+	private static final long MAX_DEMAND_GAP = Duration.ofSeconds(5).toNanos();
 
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -38,7 +42,7 @@
 
 	private long unansweredSince = NEVER;
 
-	private long heardAt = NEVER;
+	private long lastContactAt = NEVER;
 
 	HeldShare(Amount floor) {
 		this.floor = floor;
@@ -49,7 +53,7 @@
 	}
 
 	/**
-	 * The number of the last grant applied.
+	 * Returns the number of the last grant applied.
 	 * @return the number; 0 if none of this epoch
 	 */
 	long number() {
@@ -65,19 +69,19 @@
 	}
 
 	/**
-	 * What the last grant still gives.
+	 * Returns what the last grant still allows.
 	 * @param now the time
-	 * @return the amount; nothing once it expired
+	 * @return the amount; nothing once the grant has expired
 	 */
 	Amount live(long now) {
 		return (this.grant != null && this.grant.live(now)) ? this.grant.amount() : Amount.NONE;
 	}
 
 	/**
-	 * What may be in flight in all.
+	 * Returns the most that may be in flight.
 	 * @param now the time
-	 * @param equal the equal split of the capacity; nothing if that is unknown
-	 * @return the share in force
+	 * @param equal the equal split of the capacity; nothing if the capacity is unknown
+	 * @return the current share
 	 */
 	Amount amount(long now, Amount equal) {
 		if (this.grant != null && this.grant.live(now)) {
@@ -91,14 +95,15 @@
 		if (unanswered >= OwnerlessShare.SETTLED.toNanos()) {
 			return equal.max(this.floor);
 		}
-		// An entry that has long been idle may have missed that the endpoint is leaving,
-		// so it asks first; if the owner is silent, work begins all the same.
-		boolean informed = now - this.heardAt < HEARD_LATELY;
-		return (informed || unanswered >= FIRST_ANSWER.toNanos()) ? this.floor : Amount.NONE;
+		// An entry that was idle for long may have missed that the endpoint is leaving,
+		// so it asks the owner first; if the owner does not respond, requests start
+		// nevertheless.
+		boolean recentContact = now - this.lastContactAt < RECENT_CONTACT;
+		return (recentContact || unanswered >= FIRST_ANSWER_TIMEOUT.toNanos()) ? this.floor : Amount.NONE;
 	}
 
 	/**
-	 * Applies a grant unless a newer one was applied before.
+	 * Applies a grant unless a newer one was already applied.
 	 * @param item the grant
 	 * @param expiresAt when it expires
 	 * @param lifetime its lifetime in nanoseconds
@@ -121,38 +126,39 @@
 		}
 		this.epoch = item.epoch();
 		this.unansweredSince = NEVER;
-		this.heardAt = now;
+		this.lastContactAt = now;
 		return true;
 	}
 
-	void demanded(long now) {
-		if (this.unansweredSince == NEVER || now - this.demandedAt > FORGOTTEN) {
+	void demandSent(long now) {
+		if (this.unansweredSince == NEVER || now - this.demandedAt > MAX_DEMAND_GAP) {
 			this.unansweredSince = now;
 		}
 		this.demandedAt = now;
 	}
 
 	/**
-	 * Gives the grant back, because nothing has used it for a while.
+	 * Discards the grant, because nothing has used it for a while. The next demand
+	 * informs the owner.
 	 */
-	void resign() {
+	void returnGrant() {
 		this.grant = null;
 		this.unansweredSince = NEVER;
 	}
 
 	/**
-	 * The endpoint moved to another shard. Epochs of different shards can't be compared:
-	 * with the former shard's epoch kept, the new owner's grants might be ignored until
-	 * its lease's number passes the former one, and the entry would live on its ownerless
-	 * share.
+	 * Resets epoch and grant number because the endpoint moved to another shard. Epochs
+	 * of different shards are not comparable: if the former shard's epoch were kept, the
+	 * new owner's grants might be ignored until its lease's number exceeds the former
+	 * one, and the entry would be limited to its ownerless share.
 	 */
-	void moved() {
+	void resetEpoch() {
 		this.epoch = 0;
 		this.number = 0;
 	}
 
 	private long unanswered(long now) {
-		boolean asking = this.unansweredSince != NEVER && now - this.demandedAt <= FORGOTTEN;
+		boolean asking = this.unansweredSince != NEVER && now - this.demandedAt <= MAX_DEMAND_GAP;
 		return asking ? now - this.unansweredSince : 0;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/OwnUse.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/LocalUse.java
@@ -7,13 +7,13 @@
 import org.bramleyscale.internal.endpoint.Amount;
 
 /**
- * What this entry has in flight at one endpoint, and its recent peak.
+ * Tracks what this entry has in flight at one endpoint, and the recent peak.
  *
  * <p>
- * Invariant: equals the sum of the permits not yet closed. Confined to the scheduler's
- * thread.
+ * Invariant: the amount in use is the sum of the permits that are not closed. Confined to
+ * the scheduler's thread.
  */
-final class OwnUse {
+final class LocalUse {
 
 	private static final long PEAK_WINDOW = Duration.ofSeconds(1).toNanos();
 
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	 * The collection of memory heard of last.
+	 * Returns the memory collection announced by the last grant.
 	 * @return its number, or 0
 	 */
 	int collection() {
@@ -48,8 +48,9 @@
 	}
 
 	/**
-	 * How often the collection heard of has changed. Unlike the number, which a new owner
-	 * may use again, it tells whether a request began before the last change.
+	 * Returns how often the announced collection has changed. Unlike the collection's
+	 * number, which a new owner may reuse, it shows whether a request began before the
+	 * last change.
 	 * @return the count
 	 */
 	int generation() {
@@ -57,7 +58,8 @@
 	}
 
 	/**
-	 * The KV tokens of requests begun before that collection was heard of.
+	 * Returns the KV tokens of requests begun before the current collection was
+	 * announced.
 	 * @return the tokens
 	 */
 	long olderKv() {
@@ -65,10 +67,10 @@
 	}
 
 	/**
-	 * Notes the collection that a grant tells of.
+	 * Applies the memory collection that a grant announces.
 	 * @param number its number, or 0 if there is none
 	 */
-	void collecting(int number) {
+	void updateCollection(int number) {
 		if (number != this.collection) {
 			this.collection = number;
 			this.generation++;
@@ -77,7 +79,7 @@
 	}
 
 	/**
-	 * Prompt tokens sent that the newest report can't include.
+	 * Returns the prompt tokens sent that the newest report cannot include.
 	 * @return the tokens
 	 */
 	long uncoveredPrefillTokens() {
@@ -85,7 +87,7 @@
 	}
 
 	/**
-	 * The most that was in flight in the last one to two windows.
+	 * Returns the most that was in flight in the last one to two windows.
 	 * @param now the time
 	 * @return the peak
 	 */
@@ -108,15 +110,15 @@
 		return prefill;
 	}
 
-	void computed(Prefill prefill) {
+	void prefillCompleted(Prefill prefill) {
 		if (this.prefills.remove(prefill) && !prefill.covered) {
 			this.uncoveredPrefillTokens -= prefill.tokens;
 		}
 	}
 
 	/**
-	 * Takes out a request.
-	 * @param amount what it used
+	 * Removes a request.
+	 * @param amount the capacity it used
 	 * @param begunIn the generation in which it began
 	 */
 	void end(Amount amount, int begunIn) {
@@ -127,10 +129,10 @@
 	}
 
 	/**
-	 * Notes a report: prompts sent before it was made are in its figures.
-	 * @param takenAt when the report was made, as far as is known
+	 * Processes a report: its figures include the prompts sent before it was made.
+	 * @param takenAt the estimated time at which the report was made
 	 */
-	void reported(long takenAt) {
+	void reportReceived(long takenAt) {
 		for (Prefill prefill : this.prefills) {
 			if (!prefill.covered && prefill.sentAt - takenAt < 0) {
 				prefill.covered = true;
@@ -140,7 +142,7 @@
 	}
 
 	/**
-	 * A prompt sent whose first token hasn't come.
+	 * A prompt that was sent and has not returned its first token.
 	 */
 	static final class Prefill {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/AverageLearner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/MovingAverageLearner.java
@@ -5,20 +5,21 @@
 import org.bramleyscale.internal.endpoint.Observation;
 
 /**
- * A learner that keeps moving averages and ejects after failures in a row.
+ * A learner that keeps moving averages of speeds and ejects an endpoint after consecutive
+ * failures.
  *
  * <p>
  * Confined to the scheduler's thread.
  */
-public final class AverageLearner implements EndpointLearner {
+public final class MovingAverageLearner implements EndpointLearner {
 
 	private static final double NEW_WEIGHT = 0.2;
 
 	private static final int FAILURES_TO_EJECT = 3;
 
-	private static final long EJECTED_FOR = Duration.ofSeconds(5).toNanos();
+	private static final long EJECTION_DURATION = Duration.ofSeconds(5).toNanos();
 
-	private static final long READMITTED_WITHIN = Duration.ofSeconds(10).toNanos();
+	private static final long READMISSION_DURATION = Duration.ofSeconds(10).toNanos();
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
@@ -67,12 +68,12 @@
 
 	@Override
 	public boolean ejected(long now) {
-		return this.everEjected && now - this.ejectedAt < EJECTED_FOR;
+		return this.everEjected && now - this.ejectedAt < EJECTION_DURATION;
 	}
 
 	@Override
 	public boolean readmitting(long now) {
-		return this.everEjected && !ejected(now) && now - this.ejectedAt < EJECTED_FOR + READMITTED_WITHIN;
+		return this.everEjected && !ejected(now) && now - this.ejectedAt < EJECTION_DURATION + READMISSION_DURATION;
 	}
 
 	private void failed(long now) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/PoolDump.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/PoolDump.java
@@ -6,7 +6,8 @@
 import org.bramleyscale.internal.endpoint.Amount;
 
 /**
- * The pool's state as operators see it.
+ * The pool's state for the operator dump. The names of the components are written to
+ * JSON.
  *
  * @param endpoints how many endpoints are known
  * @param periodMillis how often demands are sent
@@ -14,10 +15,10 @@
  */
 record PoolDump(int endpoints, int periodMillis, List<State> states) {
 
-	private static final int LONGEST = 100;
+	private static final int MAX_LISTED = 100;
 
 	static PoolDump of(Collection<EndpointState> states, int periodMillis, long now, int sharing) {
-		List<State> first = states.stream().limit(LONGEST).map((state) -> State.of(state, now, sharing)).toList();
+		List<State> first = states.stream().limit(MAX_LISTED).map((state) -> State.of(state, now, sharing)).toList();
 		return new PoolDump(states.size(), periodMillis, first);
 	}
 
@@ -25,12 +26,12 @@
 	 * One endpoint.
 	 *
 	 * @param endpoint the endpoint
-	 * @param owner the owner heard last, or an empty text
+	 * @param owner the last known owner, or an empty string
 	 * @param epoch the epoch of the last grant
 	 * @param share what may be in flight
 	 * @param inUse what is in flight
-	 * @param leaving whether it gets no new work because it is leaving
-	 * @param ejected whether it gets no new work because of its answers
+	 * @param leaving whether it gets no new requests because it is leaving
+	 * @param ejected whether it gets no new requests because its learner has ejected it
 	 */
 	record State(String endpoint, String owner, long epoch, Amount share, Amount inUse, boolean leaving,
 			boolean ejected) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/UnmetWork.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/UnmetDemand.java
@@ -3,27 +3,28 @@
 import java.time.Duration;
 
 /**
- * Work that lately found no room at one endpoint.
+ * Requests that recently could not be placed at one endpoint for lack of capacity.
  *
  * <p>
- * Nobody says that such work has gone elsewhere or was given up, so each mention counts
- * only for a short time. Confined to the scheduler's thread.
+ * There is no notification when such a request is placed elsewhere or abandoned, so the
+ * counts expire a short time after the last request was added. Confined to the
+ * scheduler's thread.
  */
-final class UnmetWork {
+final class UnmetDemand {
 
-	private static final long COUNTS_FOR = Duration.ofSeconds(1).toNanos();
+	private static final long RETENTION = Duration.ofSeconds(1).toNanos();
 
 	private static final int MAX_REQUESTS = 64;
 
-	private long mentionedAt;
+	private long lastAddedAt;
 
 	private int requests;
 
 	private long largestKv;
 
-	void mention(long kvTokens, long now) {
+	void add(long kvTokens, long now) {
 		expire(now);
-		this.mentionedAt = now;
+		this.lastAddedAt = now;
 		this.requests = Math.min(MAX_REQUESTS, this.requests + 1);
 		this.largestKv = Math.max(this.largestKv, kvTokens);
 	}
@@ -44,7 +45,7 @@
 	}
 
 	private void expire(long now) {
-		if (this.requests > 0 && now - this.mentionedAt > COUNTS_FOR) {
+		if (this.requests > 0 && now - this.lastAddedAt > RETENTION) {
 			clear();
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/WaitingRequests.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/WaitingRequests.java
@@ -8,16 +8,16 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Asks owners for room on behalf of requests that no candidate has room for.
+ * Asks owners for capacity on behalf of requests that no candidate can accept.
  *
  * <p>
- * A request is asked for where most is left, at two endpoints only: asked for at all, a
- * single large request would make every owner collect memory for it. Confined to the
- * scheduler's thread.
+ * Capacity for a request is demanded only at the two endpoints where most remains: if it
+ * were demanded everywhere, a single large request would make every owner collect memory
+ * for it. Confined to the scheduler's thread.
  */
 final class WaitingRequests {
 
-	private static final int ASK_AT = 2;
+	private static final int MAX_ENDPOINTS_ASKED = 2;
 
 	private final Clock clock;
 
@@ -31,19 +31,19 @@
 		this.demands = demands;
 	}
 
-	void wanted(ServiceName service, ModelName model, long kvTokens) {
+	void requestRoom(ServiceName service, ModelName model, long kvTokens) {
 		long now = this.clock.nanos();
-		List<EndpointState> able = new ArrayList<>();
+		List<EndpointState> capable = new ArrayList<>();
 		for (EndpointState state : this.directory.use(service)) {
-			if (state.usable(model, now) && state.couldEverHold(kvTokens)) {
-				able.add(state);
+			if (state.usable(model, now) && state.fitsCapacity(kvTokens)) {
+				capable.add(state);
 			}
 		}
-		able.sort(EndpointState.byRoom(now, this.directory.sharing()));
-		for (EndpointState state : able.subList(0, Math.min(ASK_AT, able.size()))) {
-			state.touch(now);
-			state.unmet().mention(kvTokens, now);
-			this.demands.soon(state);
+		capable.sort(EndpointState.byRemaining(now, this.directory.sharing()));
+		for (EndpointState state : capable.subList(0, Math.min(MAX_ENDPOINTS_ASKED, capable.size()))) {
+			state.markUsed(now);
+			state.unmet().add(kvTokens, now);
+			this.demands.sendSoon(state);
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The entry's side: grants held, work in flight and demands for more.
+ * The entry's side: grants held, requests in flight and demands for capacity.
  */
 package org.bramleyscale.internal.endpoint.pool;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/pool/SubsetsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/pool/EndpointSubsetsTests.java
@@ -24,38 +24,38 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class SubsetsTests {
+class EndpointSubsetsTests {
 
 	private static final int VMS = 90;
 
-	private static final DataCentre HERE = dataCentre(0);
+	private static final DataCentre LOCAL = dataCentre(0);
 
 	private final EndpointSettings settings = EndpointSettings.builder().maxPairs(24).subsetSize(30).build();
 
 	@ParameterizedTest
 	@CsvSource({ "9, 1, 20, 20", "9, 1, 100, 30", "1700, 1, 100, 24", "1700, 4, 100, 6", "1700, 11, 100, 3" })
-	void theMoreServicesAreInUseTheSmallerTheSubsets(int members, int services, int endpoints, int size) {
-		Subsets subsets = subsets("vm-1");
+	void subsetsShrinkWithMoreServicesInUse(int members, int services, int endpoints, int expectedSize) {
+		EndpointSubsets subsets = subsets("vm-1");
 		subsets.update(configuration(services, endpoints), members);
 		for (int service = 0; service < services; service++) {
 			subsets.use(service(service), 0);
 		}
-		Truth.assertThat(subsets.of(service(0))).hasSize(size);
+		Truth.assertThat(subsets.subset(service(0))).hasSize(expectedSize);
 	}
 
 	@Test
-	void twoThirdsAreOfTheOwnDataCentre() {
-		Subsets subsets = subsets("vm-1");
+	void twoThirdsOfSubsetAreFromOwnDataCentre() {
+		EndpointSubsets subsets = subsets("vm-1");
 		subsets.update(configuration(1, 300), 1_700);
-		long local = subsets.use(service(0), 0).stream().filter((entry) -> entry.dataCentre().equals(HERE)).count();
+		long local = subsets.use(service(0), 0).stream().filter((entry) -> entry.dataCentre().equals(LOCAL)).count();
 		Truth.assertThat(local).isAtLeast(16);
 	}
 
 	@Test
-	void everyEndpointIsUsedByAboutAsManyEntries() {
+	void endpointsAreEvenlySharedAmongEntries() {
 		Map<EndpointId, Integer> users = new HashMap<>();
 		for (int vm = 0; vm < VMS; vm++) {
-			Subsets subsets = new Subsets(this.settings, new VmId("vm-" + vm), dataCentre(vm));
+			EndpointSubsets subsets = new EndpointSubsets(this.settings, new VmId("vm-" + vm), dataCentre(vm));
 			subsets.update(configuration(1, 300), 1_700);
 			subsets.use(service(0), 0).forEach((entry) -> users.merge(entry.name(), 1, Integer::sum));
 		}
@@ -65,20 +65,20 @@
 	}
 
 	@Test
-	void aServiceNoLongerInUseGivesItsRoomBack() {
-		Subsets subsets = subsets("vm-1");
+	void subsetsGrowWhenServiceIsNoLongerInUse() {
+		EndpointSubsets subsets = subsets("vm-1");
 		subsets.update(configuration(2, 100), 1_700);
 		subsets.use(service(0), 0);
 		subsets.use(service(1), 0);
-		Truth.assertThat(subsets.of(service(0))).hasSize(12);
+		Truth.assertThat(subsets.subset(service(0))).hasSize(12);
 		long later = Duration.ofSeconds(61).toNanos();
 		subsets.use(service(0), later);
 		subsets.contacts(later);
-		Truth.assertThat(subsets.of(service(0))).hasSize(24);
+		Truth.assertThat(subsets.subset(service(0))).hasSize(24);
 	}
 
-	private Subsets subsets(String vm) {
-		return new Subsets(this.settings, new VmId(vm), HERE);
+	private EndpointSubsets subsets(String vm) {
+		return new EndpointSubsets(this.settings, new VmId(vm), LOCAL);
 	}
 
 	private static ServiceName service(int number) {
