--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/reservation/ActiveReservation.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/reservation/ActiveReservation.java
@@ -18,19 +18,19 @@
 import org.bramleyscale.internal.time.Cancellable;
 
 /**
- * A reservation that waits or is held.
+ * A reservation that is waiting or held.
  *
  * <p>
- * Invariant: one of the two callbacks is called at most once, and none after closing.
- * Confined to the scheduler's thread.
+ * Invariant: at most one of the two callbacks is called, at most once, and none after
+ * closing. Confined to the scheduler's thread.
  */
 final class ActiveReservation implements Reservations.Reservation {
 
-	private static final Duration PLAN_AGAIN = Duration.ofMillis(250);
+	private static final Duration REPLAN_DELAY = Duration.ofMillis(250);
 
 	private static final Duration RETRY_AFTER = Duration.ofSeconds(5);
 
-	private final GroupReservations host;
+	private final GroupReservations reservations;
 
 	private final GroupReservation progress;
 
@@ -52,9 +52,9 @@
 
 	private boolean handedOver;
 
-	ActiveReservation(GroupReservations host, RequestId request, ServiceName service, ModelName model, long kvTokens,
-			Consumer<List<Reservations.GroupMember>> reserved, Consumer<ServingException> failed) {
-		this.host = host;
+	ActiveReservation(GroupReservations reservations, RequestId request, ServiceName service, ModelName model,
+			long kvTokens, Consumer<List<Reservations.GroupMember>> reserved, Consumer<ServingException> failed) {
+		this.reservations = reservations;
 		this.progress = new GroupReservation(request);
 		this.request = request;
 		this.service = service;
@@ -62,7 +62,7 @@
 		this.kvTokens = kvTokens;
 		this.reserved = reserved;
 		this.failed = failed;
-		this.wait = host.waits().time();
+		this.wait = reservations.waits().time();
 	}
 
 	GroupReservation progress() {
@@ -70,12 +70,12 @@
 	}
 
 	/**
-	 * Begins.
-	 * @param within how long to wait for the memory
+	 * Starts the reservation.
+	 * @param timeout how long to wait for the memory
 	 */
-	void start(Duration within) {
-		this.deadline = this.host.scheduler().schedule(within, this::timedOut);
-		this.host.scheduler().execute(this::plan);
+	void start(Duration timeout) {
+		this.deadline = this.reservations.scheduler().schedule(timeout, this::timedOut);
+		this.reservations.scheduler().execute(this::plan);
 	}
 
 	@Override
@@ -83,17 +83,18 @@
 		if (!this.progress.closed()) {
 			this.progress.close();
 			this.deadline.cancel();
-			this.host.ended(this);
-			this.progress.giveUp().forEach(this.host::giveBack);
+			this.reservations.remove(this);
+			this.progress.abortRound().forEach(this.reservations::release);
 		}
 	}
 
 	/**
-	 * An engine holds its part: asks the next, or hands over the group.
+	 * Continues after an engine has placed its hold: asks the next engine, or hands over
+	 * the complete group.
 	 */
 	void proceed() {
-		if (overtaken()) {
-			refused();
+		if (planOutdated()) {
+			replan();
 		}
 		else if (this.progress.complete()) {
 			this.deadline.cancel();
@@ -102,30 +103,31 @@
 			this.reserved.accept(this.progress.members());
 		}
 		else {
-			this.progress.next().ifPresent(this.host::ask);
+			this.progress.next().ifPresent(this.reservations::requestHold);
 		}
 	}
 
 	/**
-	 * Whether an engine of the group can no longer be used though the request hasn't
-	 * started. A group may wait long for its last engine. Without this look an engine
-	 * that announced meanwhile to stop would get a long prompt seconds later.
+	 * Returns whether an engine of the group has become unusable before the request
+	 * started. A group may wait long for its last engine. Without this check, an engine
+	 * that has meanwhile announced that it is leaving would receive a long prompt seconds
+	 * after its announcement.
 	 * @return true if another group must be chosen
 	 */
-	boolean overtaken() {
+	boolean planOutdated() {
 		if (!this.progress.planned() || this.handedOver) {
 			return false;
 		}
-		return !this.host.usable(this.service, this.model).containsAll(this.progress.engines());
+		return !this.reservations.usable(this.service, this.model).containsAll(this.progress.engines());
 	}
 
 	/**
-	 * An engine refused, lost its part or leaves before all was held: gives back the rest
-	 * and looks for another group.
+	 * Releases all holds and plans another group, because an engine refused its hold,
+	 * lost it or is leaving before the group was complete.
 	 */
-	void refused() {
-		this.progress.giveUp().forEach(this.host::giveBack);
-		this.host.scheduler().schedule(PLAN_AGAIN, this::plan);
+	void replan() {
+		this.progress.abortRound().forEach(this.reservations::release);
+		this.reservations.scheduler().schedule(REPLAN_DELAY, this::plan);
 	}
 
 	ReservationDump dump() {
@@ -137,15 +139,16 @@
 		if (this.progress.closed() || this.progress.planned()) {
 			return;
 		}
-		List<GroupPlan.Engine> engines = this.host.known(this.service, this.model, this.progress.avoided());
+		List<GroupPlan.Engine> engines = this.reservations.candidateEngines(this.service, this.model,
+				this.progress.excluded());
 		Optional<List<GroupPlan.Part>> parts = GroupPlan.of(engines, this.kvTokens);
 		if (parts.isPresent()) {
 			this.progress.plan(parts.get());
-			this.progress.next().ifPresent(this.host::ask);
+			this.progress.next().ifPresent(this.reservations::requestHold);
 		}
 		else {
-			this.progress.avoided().clear();
-			this.host.scheduler().schedule(PLAN_AGAIN, this::plan);
+			this.progress.excluded().clear();
+			this.reservations.scheduler().schedule(REPLAN_DELAY, this::plan);
 		}
 	}
 
@@ -155,7 +158,7 @@
 		}
 		String peer = this.progress.next().map(HeldMemory::endpoint).map(Object::toString).orElse("self");
 		close();
-		this.host.failures().inc();
+		this.reservations.failures().inc();
 		this.failed.accept(new ServingException(ErrorCode.OVERLOADED, Ran.NO, Step.RESERVE, peer,
 				"memory for " + this.kvTokens + " tokens could not be reserved in time", RETRY_AFTER));
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/reservation/GroupPlan.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/reservation/GroupPlan.java
@@ -12,17 +12,18 @@
 import org.bramleyscale.internal.endpoint.LoadReport;
 
 /**
- * Chooses the engines that together hold a prompt too large for one.
+ * Chooses a group of engines that together hold a prompt that is too large for one
+ * engine.
  *
  * <p>
- * Invariants: the parts add up to what is needed, no part is larger than what its engine
- * may hold, and the parts are in the order of the endpoints' names, in which everybody
- * takes them. One data centre's engines are preferred, since they exchange KV memory.
- * Stateless and safe for use by multiple threads.
+ * Invariants: the parts add up to what is needed, no part exceeds what its engine may
+ * hold, and the parts are in the order of the endpoints' names, in which all reservations
+ * acquire them. Engines of a single data centre are preferred, since they exchange KV
+ * memory. Stateless and safe for use by multiple threads.
  */
 final class GroupPlan {
 
-	/** Of an engine's memory, the largest part that a hold may take. */
+	/** Largest fraction of an engine's memory that a hold may take. */
 	static final double HOLDABLE = 0.85;
 
 	private GroupPlan() {
@@ -31,9 +32,9 @@
 	/**
 	 * Chooses engines.
 	 * @param engines the engines
-	 * @param kvTokens memory needed in all
-	 * @return the parts in the order in which they must be taken, or empty if all engines
-	 * together are too small
+	 * @param kvTokens the total memory needed, in tokens
+	 * @return the parts in the order in which they must be acquired, or empty if all
+	 * engines together are too small
 	 */
 	static Optional<List<Part>> of(List<Engine> engines, long kvTokens) {
 		Map<DataCentre, List<Engine>> byDataCentre = new LinkedHashMap<>();
@@ -49,7 +50,7 @@
 	}
 
 	/**
-	 * The largest amount that could be held on all engines together.
+	 * Returns the largest amount that could be held on all engines together.
 	 * @param engines the engines
 	 * @return tokens
 	 */
@@ -62,13 +63,13 @@
 	}
 
 	private static List<Engine> choose(List<Engine> engines, long kvTokens) {
-		List<Engine> byRoom = new ArrayList<>(engines);
-		byRoom.sort(Comparator.comparingLong(Engine::free)
+		List<Engine> byFree = new ArrayList<>(engines);
+		byFree.sort(Comparator.comparingLong(Engine::free)
 			.reversed()
 			.thenComparing((engine) -> engine.entry.name().value()));
 		List<Engine> chosen = new ArrayList<>();
 		long sum = 0;
-		for (Engine engine : byRoom) {
+		for (Engine engine : byFree) {
 			if (sum < kvTokens) {
 				chosen.add(engine);
 				sum += engine.holdable();
@@ -78,26 +79,27 @@
 	}
 
 	private static List<Part> split(List<Engine> engines, long kvTokens) {
-		double share = (double) kvTokens / holdable(engines);
+		double fraction = (double) kvTokens / holdable(engines);
 		List<Engine> ordered = new ArrayList<>(engines);
 		ordered.sort(Comparator.comparing((engine) -> engine.entry.name().value()));
 		List<Part> parts = new ArrayList<>();
-		long left = kvTokens;
+		long remaining = kvTokens;
 		for (Engine engine : ordered) {
-			long part = Math.min(left, Math.min(engine.holdable(), (long) Math.ceil(engine.holdable() * share)));
+			long part = Math.min(remaining,
+					Math.min(engine.holdable(), (long) Math.ceil(engine.holdable() * fraction)));
 			parts.add(new Part(engine.entry, part));
-			left -= part;
+			remaining -= part;
 		}
 		parts.removeIf((part) -> part.kvTokens == 0);
 		return List.copyOf(parts);
 	}
 
 	/**
-	 * An engine that may take part.
+	 * An engine that may be part of a group.
 	 *
 	 * @param entry the engine
-	 * @param kvCapacity its KV memory
-	 * @param kvUsed what is used of it
+	 * @param kvCapacity its total KV memory, in tokens
+	 * @param kvUsed its KV memory in use, in tokens
 	 */
 	record Engine(EndpointEntry entry, long kvCapacity, long kvUsed) {
 
@@ -116,10 +118,10 @@
 	}
 
 	/**
-	 * One engine's part.
+	 * One engine's part of the reservation.
 	 *
 	 * @param entry the engine
-	 * @param kvTokens memory to be held there
+	 * @param kvTokens the memory to hold there, in tokens
 	 */
 	record Part(EndpointEntry entry, long kvTokens) {
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/reservation/GroupReservation.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/reservation/GroupReservation.java
@@ -13,22 +13,22 @@
 import org.bramleyscale.internal.endpoint.Reservations;
 
 /**
- * One reservation's progress through the engines of its group.
+ * Tracks one reservation's progress through the engines of its group.
  *
  * <p>
- * Invariants: engines are asked one after the other in the order of their names, each
- * only when all before it hold; so of any set of reservations that wait for each other,
- * the one that waits for the greatest name waits for nobody in the set, and there is no
- * deadlock. A hold's id is never used for a second round. Confined to the scheduler's
- * thread.
+ * Invariants: engines are asked one at a time in the order of their names, each only
+ * after all engines before it have placed their holds. In any set of reservations that
+ * wait for each other, the one that waits for the engine with the greatest name does not
+ * wait for any other in the set, so there is no deadlock. A hold's id is never reused in
+ * another round. Confined to the scheduler's thread.
  */
 final class GroupReservation {
 
 	private final RequestId request;
 
-	private final List<Step> steps = new ArrayList<>();
+	private final List<HoldStep> steps = new ArrayList<>();
 
-	private final Set<EndpointId> avoided = new HashSet<>();
+	private final Set<EndpointId> excluded = new HashSet<>();
 
 	private int round;
 
@@ -52,42 +52,41 @@
 		return !this.steps.isEmpty();
 	}
 
-	Set<EndpointId> avoided() {
-		return this.avoided;
+	Set<EndpointId> excluded() {
+		return this.excluded;
 	}
 
 	/**
-	 * Begins a round.
-	 * @param parts the engines in their order
+	 * Starts a round.
+	 * @param parts the parts, ordered by the engines' names
 	 */
 	void plan(List<GroupPlan.Part> parts) {
 		this.round++;
 		this.steps.clear();
 		for (GroupPlan.Part part : parts) {
-			// A hold's id is part of a URL's path. A slash in it would name another path,
-			// and
-			// the engine would refuse every hold and every release.
-			this.steps.add(new Step(part, this.request + "." + this.round));
+			// A hold's id is a segment of a URL path. A slash in it would address another
+			// path, and the engine would refuse every hold and every release.
+			this.steps.add(new HoldStep(part, this.request + "." + this.round));
 		}
 	}
 
 	/**
-	 * The engine to be asked now.
-	 * @return the first that doesn't hold yet
+	 * Returns the hold to request next.
+	 * @return the first hold that is not placed yet, or empty if there is none
 	 */
 	Optional<HeldMemory> next() {
-		return this.steps.stream().filter((step) -> !step.held).findFirst().map(Step::memory);
+		return this.steps.stream().filter((step) -> !step.held).findFirst().map(HoldStep::memory);
 	}
 
 	/**
-	 * Notes that an engine holds.
+	 * Records that an engine has placed a hold.
 	 * @param endpoint the engine
 	 * @param hold the hold's id
 	 * @param now the time
-	 * @return true if this hold belongs to the present round and was still awaited
+	 * @return true if this hold belongs to the current round and was not placed before
 	 */
 	boolean reserved(EndpointId endpoint, String hold, long now) {
-		Optional<Step> step = find(endpoint, hold).filter((found) -> !found.held);
+		Optional<HoldStep> step = find(endpoint, hold).filter((found) -> !found.held);
 		step.ifPresent((found) -> {
 			found.held = true;
 			found.confirmedAt = now;
@@ -97,24 +96,24 @@
 	}
 
 	/**
-	 * Notes that an engine doesn't hold.
+	 * Records that an engine does not hold the memory.
 	 * @param refused the refusal
-	 * @return true if it concerns the present round
+	 * @return true if it concerns the current round
 	 */
 	boolean refused(Refused refused) {
-		Optional<Step> step = find(refused.endpoint(), refused.hold());
+		Optional<HoldStep> step = find(refused.endpoint(), refused.hold());
 		if (step.isEmpty()) {
 			return false;
 		}
 		this.steps.remove(step.get());
 		if (!this.complete && refused.reason() != Refused.Reason.LOST) {
-			this.avoided.add(refused.endpoint());
+			this.excluded.add(refused.endpoint());
 		}
 		return true;
 	}
 
 	void renewed(String hold, long now) {
-		for (Step step : this.steps) {
+		for (HoldStep step : this.steps) {
 			if (step.hold.equals(hold)) {
 				step.confirmedAt = now;
 			}
@@ -122,24 +121,24 @@
 	}
 
 	/**
-	 * What engines hold.
+	 * Returns the holds that are placed.
 	 * @return the holds
 	 */
 	List<HeldMemory> held() {
-		return this.steps.stream().filter((step) -> step.held).map(Step::memory).toList();
+		return this.steps.stream().filter((step) -> step.held).map(HoldStep::memory).toList();
 	}
 
 	/**
-	 * Holds that no owner has confirmed for some time and that must be renewed at the
-	 * engine itself. Each is returned once a span.
+	 * Returns the holds that no owner has confirmed for some time and that must be
+	 * renewed at the engine itself. Each hold is returned once per interval.
 	 * @param now the time
-	 * @param span the time in nanoseconds
+	 * @param interval the interval in nanoseconds
 	 * @return the holds with their engines
 	 */
-	List<Reservations.GroupMember> unconfirmed(long now, long span) {
+	List<Reservations.GroupMember> unconfirmed(long now, long interval) {
 		List<Reservations.GroupMember> result = new ArrayList<>();
-		for (Step step : this.steps) {
-			if (step.held && now - step.confirmedAt > span) {
+		for (HoldStep step : this.steps) {
+			if (step.held && now - step.confirmedAt > interval) {
 				step.confirmedAt = now;
 				result.add(step.member());
 			}
@@ -148,7 +147,7 @@
 	}
 
 	/**
-	 * The engines of the present round, held or not.
+	 * Returns the engines of the current round, whether or not their holds are placed.
 	 * @return their names
 	 */
 	List<EndpointId> engines() {
@@ -156,32 +155,33 @@
 	}
 
 	List<Reservations.GroupMember> members() {
-		return this.steps.stream().map(Step::member).toList();
+		return this.steps.stream().map(HoldStep::member).toList();
 	}
 
 	/**
-	 * Everything asked for in the present round, held or not; the round is over.
-	 * @return what must be released
+	 * Ends the current round and returns all its holds that were requested, placed or
+	 * not.
+	 * @return the holds to release
 	 */
-	List<HeldMemory> giveUp() {
-		List<HeldMemory> asked = new ArrayList<>(held());
-		next().ifPresent(asked::add);
+	List<HeldMemory> abortRound() {
+		List<HeldMemory> requested = new ArrayList<>(held());
+		next().ifPresent(requested::add);
 		this.steps.clear();
 		this.complete = false;
-		return asked;
+		return requested;
 	}
 
 	void close() {
 		this.closed = true;
 	}
 
-	private Optional<Step> find(EndpointId endpoint, String hold) {
+	private Optional<HoldStep> find(EndpointId endpoint, String hold) {
 		return this.steps.stream()
 			.filter((step) -> step.part.entry().name().equals(endpoint) && step.hold.equals(hold))
 			.findFirst();
 	}
 
-	private static final class Step {
+	private static final class HoldStep {
 
 		private final GroupPlan.Part part;
 
@@ -191,7 +191,7 @@
 
 		private long confirmedAt;
 
-		private Step(GroupPlan.Part part, String hold) {
+		private HoldStep(GroupPlan.Part part, String hold) {
 			this.part = part;
 			this.hold = hold;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/reservation/GroupReservations.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/reservation/GroupReservations.java
@@ -43,26 +43,26 @@
 import org.jboss.logging.Logger;
 
 /**
- * Reserves memory through the owners of the engines, one engine after the other in the
- * order of their names.
+ * Reserves memory through the owners of the engines, one engine at a time in the order of
+ * their names.
  *
  * <p>
- * Invariants: exactly one of the two callbacks of a reservation is called, and none after
- * it was closed; what is held is renewed until it is closed, and released then. A holder
- * that dies stops renewing, which ends its holds within {@link HoldTimes#FREED_ALWAYS}.
- * Confined to the scheduler's thread.
+ * Invariants: exactly one of the two callbacks of a reservation is called unless it is
+ * closed first, and none after it was closed; its holds are renewed until it is closed,
+ * and released then. A holder that fails stops renewing, which ends its holds within
+ * {@link HoldTimes#FREED_ALWAYS}. Confined to the scheduler's thread.
  */
 public final class GroupReservations implements Reservations, StateDump {
 
 	private static final Logger logger = Logger.getLogger(GroupReservations.class);
 
 	/**
-	 * An owner that confirms nothing for so long may be gone, and in an outage of the
-	 * platform no other can follow it. The engine would then drop the memory of a running
-	 * request; it shows as the request failing about half a minute after its owner died.
-	 * The holder therefore renews at the engine itself.
+	 * After this time without a confirmation the owner may have failed, and during an
+	 * outage of the platform no other daemon can replace it. The engine would then drop
+	 * the memory of a running request, and the request would fail about half a minute
+	 * after the owner. The holder therefore renews the hold at the engine itself.
 	 */
-	private static final long UNCONFIRMED = Duration.ofSeconds(10).toNanos();
+	private static final long MAX_UNCONFIRMED = Duration.ofSeconds(10).toNanos();
 
 	private final Scheduler scheduler;
 
@@ -80,16 +80,16 @@
 
 	private final Set<ActiveReservation> active = new LinkedHashSet<>();
 
-	private Cancellable ticking;
+	private Cancellable renewalTask;
 
 	/**
-	 * Makes reservations for one daemon.
+	 * Creates the reservations of one daemon.
 	 * @param scheduler the daemon's scheduler
-	 * @param endpoints what the daemon knows of endpoints
+	 * @param endpoints the endpoints that the daemon knows
 	 * @param peers the peers; must also deliver to this daemon itself
-	 * @param engines calls to engines
+	 * @param engines the client for calls to engines
 	 * @param self this daemon
-	 * @param metrics where waits and failures are counted
+	 * @param metrics the registry of the metrics of waits and failures
 	 */
 	public GroupReservations(Scheduler scheduler, KnownEndpoints endpoints, PeerNetwork peers, EngineClient engines,
 			Incarnation self, MetricRegistry metrics) {
@@ -104,22 +104,22 @@
 	}
 
 	/**
-	 * Begins to listen to owners and to renew.
+	 * Starts listening to owners and renewing holds.
 	 */
 	public void start() {
 		this.peers.listen(Reserved.class, this::reserved);
 		this.peers.listen(Refused.class, this::refused);
 		this.peers.listen(Renewed.class, this::renewed);
 		this.peers.listen(Redirect.class, this::redirected);
-		this.ticking = this.scheduler.repeat(HoldTimes.RENEW_PERIOD, this::tick);
+		this.renewalTask = this.scheduler.repeat(HoldTimes.RENEW_PERIOD, this::tick);
 	}
 
 	public void stop() {
-		this.ticking.cancel();
+		this.renewalTask.cancel();
 	}
 
 	@Override
-	public Reservation reserve(RequestId request, ServiceName service, ModelName model, long kvTokens, Duration within,
+	public Reservation reserve(RequestId request, ServiceName service, ModelName model, long kvTokens, Duration timeout,
 			Consumer<List<GroupMember>> reserved, Consumer<ServingException> failed) {
 		if (kvTokens < 1) {
 			throw new IllegalArgumentException("KV tokens to reserve must be at least 1, were " + kvTokens);
@@ -127,13 +127,13 @@
 		ActiveReservation reservation = new ActiveReservation(this, request, service, model, kvTokens, reserved,
 				failed);
 		this.active.add(reservation);
-		reservation.start(within);
+		reservation.start(timeout);
 		return reservation;
 	}
 
 	@Override
 	public long largest(ServiceName service, ModelName model) {
-		return GroupPlan.holdable(known(service, model, Set.of()));
+		return GroupPlan.holdable(candidateEngines(service, model, Set.of()));
 	}
 
 	@Override
@@ -143,7 +143,7 @@
 
 	@Override
 	public Object dump() {
-		return this.active.stream().limit(ReservationDump.LONGEST).map(ActiveReservation::dump).toList();
+		return this.active.stream().limit(ReservationDump.MAX_LISTED).map(ActiveReservation::dump).toList();
 	}
 
 	Scheduler scheduler() {
@@ -158,14 +158,14 @@
 		return this.failures;
 	}
 
-	void ended(ActiveReservation reservation) {
+	void remove(ActiveReservation reservation) {
 		this.active.remove(reservation);
 	}
 
-	List<GroupPlan.Engine> known(ServiceName service, ModelName model, Set<?> avoided) {
+	List<GroupPlan.Engine> candidateEngines(ServiceName service, ModelName model, Set<?> excluded) {
 		List<GroupPlan.Engine> result = new ArrayList<>();
 		this.endpoints.usable(service, model).forEach((entry) -> {
-			if (!avoided.contains(entry.name())) {
+			if (!excluded.contains(entry.name())) {
 				this.endpoints.report(entry.name())
 					.ifPresent((report) -> result.add(GroupPlan.Engine.of(entry, report)));
 			}
@@ -186,7 +186,7 @@
 				.stream()
 				.anyMatch((held) -> held.hold().equals(message.hold()) && held.endpoint().equals(message.endpoint())));
 		if (!known) {
-			// The reservation was closed while the owner placed the hold.
+			// The reservation was closed while the owner was placing the hold.
 			send(message.endpoint(), new Release(message.endpoint(), message.hold()));
 		}
 	}
@@ -196,10 +196,11 @@
 			boolean complete = reservation.progress().complete();
 			if (reservation.progress().refused(message)) {
 				if (complete) {
-					logger.warnf("Engine %s lost hold %s in use", message.endpoint(), message.hold());
+					logger.warnf("Engine %s lost hold %s of a complete reservation", message.endpoint(),
+							message.hold());
 				}
 				else {
-					reservation.refused();
+					reservation.replan();
 				}
 				return;
 			}
@@ -214,22 +215,22 @@
 	}
 
 	private void redirected(Incarnation from, Redirect message) {
-		// The pool learns of the owner from the same message, possibly after this call.
+		// The pool learns the owner from the same message, possibly after this call.
 		this.scheduler.execute(() -> {
 			for (ActiveReservation reservation : this.active) {
 				reservation.progress()
 					.next()
 					.filter((next) -> next.endpoint().equals(message.endpoint()))
-					.ifPresent(this::ask);
+					.ifPresent(this::requestHold);
 			}
 		});
 	}
 
-	void ask(HeldMemory wanted) {
-		send(wanted.endpoint(), new Reserve(wanted.endpoint(), wanted.hold(), wanted.kvTokens()));
+	void requestHold(HeldMemory memory) {
+		send(memory.endpoint(), new Reserve(memory.endpoint(), memory.hold(), memory.kvTokens()));
 	}
 
-	void giveBack(HeldMemory held) {
+	void release(HeldMemory held) {
 		send(held.endpoint(), new Release(held.endpoint(), held.hold()));
 	}
 
@@ -245,15 +246,15 @@
 		long now = this.scheduler.nanos();
 		Map<VmId, List<HeldMemory>> byOwner = new HashMap<>();
 		for (ActiveReservation reservation : List.copyOf(this.active)) {
-			if (reservation.overtaken()) {
-				reservation.refused();
+			if (reservation.planOutdated()) {
+				reservation.replan();
 			}
-			reservation.progress().next().ifPresent(this::ask);
+			reservation.progress().next().ifPresent(this::requestHold);
 			for (HeldMemory held : reservation.progress().held()) {
 				Optional<VmId> owner = this.endpoints.owner(held.endpoint());
 				owner.ifPresent((vm) -> byOwner.computeIfAbsent(vm, (key) -> new ArrayList<>()).add(held));
 			}
-			reservation.progress().unconfirmed(now, UNCONFIRMED).forEach(this::renewAtEngine);
+			reservation.progress().unconfirmed(now, MAX_UNCONFIRMED).forEach(this::renewAtEngine);
 		}
 		byOwner.forEach((owner, holds) -> this.peers.send(owner, new Renew(holds)));
 	}
@@ -263,7 +264,8 @@
 				HoldTimes.ENGINE_LIFETIME);
 		this.engines.hold(member.endpoint(), hold).whenComplete((kept, failure) -> {
 			if (failure != null) {
-				logger.infof("Engine %s didn't answer the renewal of hold %s", member.endpoint().name(), member.hold());
+				logger.infof("Engine %s did not answer the renewal of hold %s", member.endpoint().name(),
+						member.hold());
 			}
 		});
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/reservation/ReservationDump.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/reservation/ReservationDump.java
@@ -5,16 +5,17 @@
 import org.bramleyscale.internal.endpoint.HeldMemory;
 
 /**
- * A reservation as operators see it.
+ * A reservation's state for the operator dump. The names of the components are written to
+ * JSON.
  *
  * @param request the request
- * @param kvTokens memory needed in all
+ * @param kvTokens the total memory needed, in tokens
  * @param complete whether all of it is held
- * @param held what is held
- * @param waitsFor what is asked for, or null
+ * @param held the holds that are placed
+ * @param waitsFor the hold that is being requested, or null
  */
 record ReservationDump(String request, long kvTokens, boolean complete, List<HeldMemory> held, HeldMemory waitsFor) {
 
-	static final int LONGEST = 100;
+	static final int MAX_LISTED = 100;
 
 }
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/reservation/GroupPlanTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/reservation/GroupPlanTests.java
@@ -18,11 +18,11 @@
 
 	@ParameterizedTest
 	@CsvSource(delimiter = ';', value = {
-			// engines as name@data centre:capacity/used; needed; parts
+			// engines as name@data centre:capacity/used; KV tokens needed; expected parts
 			"b@x:1000/0 a@x:1000/0; 1500; a=750 b=750", "a@x:1000/900 b@x:1000/0 c@x:1000/0; 1500; b=750 c=750",
 			"a@x:1000/0 b@x:3000/0; 2000; b=2000", "a@x:1000/0 b@y:1000/0 c@y:1000/500; 1500; b=750 c=750",
 			"a@x:1000/0 b@y:1000/0; 1500; a=750 b=750", "a@x:1000/0 b@x:1000/0; 1701; none" })
-	void choosesAGroup(String engines, long kvTokens, String expected) {
+	void choosesEnginesAndDividesMemory(String engines, long kvTokens, String expected) {
 		String parts = GroupPlan.of(engines(engines), kvTokens)
 			.map((group) -> group.stream()
 				.map((part) -> part.entry().name() + "=" + part.kvTokens())
@@ -32,7 +32,7 @@
 	}
 
 	@Test
-	void partsAddUpToWhatIsNeededForAnyAmount() {
+	void partsAddUpToAnyNeededAmount() {
 		List<GroupPlan.Engine> engines = engines("a@x:1000/1 b@x:777/5 c@x:1313/2 d@x:999/0");
 		for (long needed = 1; needed <= GroupPlan.holdable(engines); needed++) {
 			Optional<List<GroupPlan.Part>> group = GroupPlan.of(engines, needed);
