--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Claims.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Claims.java
@@ -10,22 +10,21 @@
 import org.jboss.logging.Logger;
 
 /**
- * Takes claims from wherever they come and lets the rest of the slice know what changed.
+ * Applies claims from all sources and notifies the other parts of membership of changes.
  *
  * <p>
- * Invariants: a claim that changes nothing is neither pushed on nor reported; a claim
- * that this daemon itself isn't alive is refuted at once. Confined to the scheduler's
- * thread.
+ * Invariants: a claim that changes nothing is neither gossiped nor reported; a claim that
+ * this daemon itself isn't alive is refuted at once. Confined to the scheduler's thread.
  */
-final class Claims implements FailureDetector.Verdicts {
+final class Claims implements FailureDetector.Listener {
 
 	private static final Logger logger = Logger.getLogger(Claims.class);
 
 	private final MemberTable table;
 
-	private final DataCentreSilences silences;
+	private final DataCentreStatuses dataCentres;
 
-	private final Rumours rumours;
+	private final ClaimGossip gossip;
 
 	private final ViewCache view;
 
@@ -40,21 +39,21 @@
 	private final Counter refuted;
 
 	/**
-	 * Makes the taker of claims.
+	 * Creates an instance.
 	 * @param table the claims about members
-	 * @param silences the claims about data centres
-	 * @param rumours pushes changed claims on
-	 * @param view tells listeners
+	 * @param dataCentres the claims about data centres
+	 * @param gossip sends changed claims to other daemons
+	 * @param view notified of each change
 	 * @param self this daemon
 	 * @param leaveListener called when this daemon's own entry becomes leaving or a later
 	 * start of this VM is seen
-	 * @param metrics where verdicts are counted
+	 * @param metrics counts suspicions, declarations of death and refutations
 	 */
-	Claims(MemberTable table, DataCentreSilences silences, Rumours rumours, ViewCache view, Incarnation self,
+	Claims(MemberTable table, DataCentreStatuses dataCentres, ClaimGossip gossip, ViewCache view, Incarnation self,
 			Runnable leaveListener, MetricRegistry metrics) {
 		this.table = table;
-		this.silences = silences;
-		this.rumours = rumours;
+		this.dataCentres = dataCentres;
+		this.gossip = gossip;
 		this.view = view;
 		this.self = self;
 		this.leaveListener = leaveListener;
@@ -64,52 +63,52 @@
 	}
 
 	/**
-	 * Enters this daemon itself.
-	 * @param identity who it is
+	 * Adds this daemon to the table.
+	 * @param identity this daemon's identity
 	 */
-	void enterSelf(PeerIdentity identity) {
+	void addSelf(PeerIdentity identity) {
 		merge(new MemberEntry(identity, 0, Health.ALIVE, false));
 	}
 
-	void take(MemberEntry claim) {
+	void apply(MemberEntry claim) {
 		if (claim.vm().equals(this.self.vm())) {
-			takeAboutSelf(claim);
+			applyToSelf(claim);
 		}
 		else {
 			merge(claim);
 		}
 	}
 
-	void takeSilences(List<DataCentreSilence> claims) {
+	void applyDataCentreStatuses(List<DataCentreStatus> claims) {
 		boolean changed = false;
-		for (DataCentreSilence claim : claims) {
-			changed |= this.silences.merge(claim);
+		for (DataCentreStatus claim : claims) {
+			changed |= this.dataCentres.merge(claim);
 		}
 		if (changed) {
-			silencesChanged();
+			dataCentresChanged();
 		}
 	}
 
-	void silencesChanged() {
-		this.rumours.silencesChanged();
+	void dataCentresChanged() {
+		this.gossip.dataCentresChanged();
 		this.view.changed();
 	}
 
 	void markLeaving(VmId vm) {
-		this.table.get(vm).ifPresent((entry) -> take(entry.withLeaving()));
+		this.table.get(vm).ifPresent((entry) -> apply(entry.withLeaving()));
 	}
 
 	@Override
 	public void suspect(Incarnation member) {
-		claim(member, Health.SUSPECT, this.suspected);
+		declare(member, Health.SUSPECT, this.suspected);
 	}
 
 	@Override
-	public void dead(Incarnation member) {
-		claim(member, Health.DEAD, this.declaredDead);
+	public void declareDead(Incarnation member) {
+		declare(member, Health.DEAD, this.declaredDead);
 	}
 
-	private void claim(Incarnation member, Health health, Counter counter) {
+	private void declare(Incarnation member, Health health, Counter counter) {
 		this.table.get(member.vm()).filter((entry) -> entry.incarnation().equals(member)).ifPresent((entry) -> {
 			if (entry.health().compareTo(health) < 0) {
 				counter.inc();
@@ -120,30 +119,30 @@
 		});
 	}
 
-	private void takeAboutSelf(MemberEntry claim) {
-		MemberEntry own = this.table.get(this.self.vm()).orElseThrow();
+	private void applyToSelf(MemberEntry claim) {
+		MemberEntry ownEntry = this.table.get(this.self.vm()).orElseThrow();
 		long start = claim.incarnation().start();
 		if (start > this.self.start()) {
-			logger.warnf("A later start of this VM was seen: %s", claim.incarnation());
+			logger.warnf("Received a claim about a later start of this VM: %s", claim.incarnation());
 			merge(claim);
 			this.leaveListener.run();
 		}
-		if (!claim.incarnation().equals(this.self) || !own.incarnation().equals(this.self)) {
+		if (!claim.incarnation().equals(this.self) || !ownEntry.incarnation().equals(this.self)) {
 			return;
 		}
-		boolean refutes = claim.health() != Health.ALIVE && claim.version() >= own.version();
+		boolean refutes = claim.health() != Health.ALIVE && claim.version() >= ownEntry.version();
 		if (refutes) {
 			this.refuted.inc();
 		}
-		merge(refutes ? own.refuting(claim) : own.merge(claim));
-		if (claim.leaving() && !own.leaving()) {
+		merge(refutes ? ownEntry.refuting(claim) : ownEntry.merge(claim));
+		if (claim.leaving() && !ownEntry.leaving()) {
 			this.leaveListener.run();
 		}
 	}
 
 	private void merge(MemberEntry claim) {
 		if (this.table.merge(claim)) {
-			this.rumours.changed(claim.vm());
+			this.gossip.memberChanged(claim.vm());
 			this.view.changed();
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Digests.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Digests.java
@@ -6,7 +6,7 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * The first step of comparing tables.
+ * The first step of a table exchange.
  *
  * @param byDataCentre the digest of the entries of each data centre
  */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Entries.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Entries.java
@@ -5,11 +5,12 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Claims passed on.
+ * Sends claims to a peer.
  *
  * @param members claims about members
- * @param silences claims about data centres, understood only inside the observer's own
+ * @param dataCentres claims about data centres, which are valid only inside the
+ * observer's data centre
  */
-record Entries(List<MemberEntry> members, List<DataCentreSilence> silences) implements PeerMessage {
+record Entries(List<MemberEntry> members, List<DataCentreStatus> dataCentres) implements PeerMessage {
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/FailureDetector.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/FailureDetector.java
@@ -12,13 +12,15 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Judges the members whose heartbeats this daemon expects.
+ * Detects failures of the members whose heartbeats this daemon expects.
  *
  * <p>
- * A member that isn't heard is first probed, directly and through others, since one
- * connection may be silent in one direction. Only if nobody hears it is it suspected, and
- * only if it doesn't refute that and a jury agrees is it declared dead. Invariant: no
- * verdict without silence seen here. Confined to the scheduler's thread.
+ * A member whose heartbeats are missing is first probed, directly and through other
+ * daemons, since a connection may lose messages in one direction only. It is suspected
+ * only if none of them reaches it, and declared dead only if it doesn't refute the
+ * suspicion and a quorum confirms it. Invariant: no member is suspected or declared dead
+ * unless this daemon itself has missed its heartbeats. Confined to the scheduler's
+ * thread.
  */
 final class FailureDetector {
 
@@ -26,110 +28,111 @@
 
 	private final Inquiries inquiries;
 
-	private final Jury jury;
+	private final DeathQuorum quorum;
 
 	private final Clock clock;
 
 	private final MembershipTimes times;
 
-	private final Verdicts verdicts;
+	private final Listener listener;
 
-	private final Counter vouched;
+	private final Counter reachableElsewhere;
 
-	private final Counter held;
+	private final Counter unconfirmed;
 
-	private final Map<VmId, Watch> watches = new HashMap<>();
+	private final Map<VmId, Monitor> monitors = new HashMap<>();
 
-	FailureDetector(MemberTable table, Inquiries inquiries, Jury jury, Clock clock, MembershipTimes times,
-			Verdicts verdicts, MetricRegistry metrics) {
+	FailureDetector(MemberTable table, Inquiries inquiries, DeathQuorum quorum, Clock clock, MembershipTimes times,
+			Listener listener, MetricRegistry metrics) {
 		this.table = table;
 		this.inquiries = inquiries;
-		this.jury = jury;
+		this.quorum = quorum;
 		this.clock = clock;
 		this.times = times;
-		this.verdicts = verdicts;
-		this.vouched = metrics.counter("membership.silent-to-this-daemon-only");
-		this.held = metrics.counter("membership.verdicts-held");
+		this.listener = listener;
+		this.reachableElsewhere = metrics.counter("membership.silent-to-this-daemon-only");
+		this.unconfirmed = metrics.counter("membership.verdicts-held");
 	}
 
 	/**
-	 * Looks at each watched member.
-	 * @param watched whom to expect heartbeats from
+	 * Checks each monitored member.
+	 * @param monitored the members from which heartbeats are expected
 	 */
-	void tick(Set<VmId> watched) {
+	void tick(Set<VmId> monitored) {
 		long now = this.clock.nanos();
-		this.watches.keySet().retainAll(watched);
-		for (VmId vm : watched) {
-			Watch watch = this.watches.computeIfAbsent(vm, (key) -> new Watch(now));
-			this.table.get(vm).ifPresent((entry) -> look(entry, watch, now));
+		this.monitors.keySet().retainAll(monitored);
+		for (VmId vm : monitored) {
+			Monitor monitor = this.monitors.computeIfAbsent(vm, (key) -> new Monitor(now));
+			this.table.get(vm).ifPresent((entry) -> check(entry, monitor, now));
 		}
 	}
 
 	/**
-	 * Notes that something came from a member directly.
-	 * @param vm the member
+	 * Records that a message was received directly from a member.
+	 * @param vm the member's VM
 	 */
-	void heard(VmId vm) {
-		Watch watch = this.watches.get(vm);
-		if (watch != null) {
-			watch.heard(this.clock.nanos());
+	void recordContact(VmId vm) {
+		Monitor monitor = this.monitors.get(vm);
+		if (monitor != null) {
+			monitor.recordContact(this.clock.nanos());
 		}
 	}
 
-	private void look(MemberEntry entry, Watch watch, long now) {
-		if (watch.asking) {
+	private void check(MemberEntry entry, Monitor monitor, long now) {
+		if (monitor.inquiryPending) {
 			return;
 		}
-		if (watch.suspected && entry.health() == Health.ALIVE) {
-			watch.heard(now);
+		if (monitor.suspected && entry.health() == Health.ALIVE) {
+			monitor.recordContact(now);
 		}
-		if (watch.suspected && now - watch.nextStepAt >= 0) {
-			ask(entry.incarnation(), watch, true);
+		if (monitor.suspected && now - monitor.nextStepAt >= 0) {
+			inquire(entry.incarnation(), monitor, true);
 		}
-		else if (!watch.suspected && now - watch.heardAt >= this.times.silence().toNanos()) {
-			ask(entry.incarnation(), watch, false);
+		else if (!monitor.suspected && now - monitor.lastContactAt >= this.times.heartbeatTimeout().toNanos()) {
+			inquire(entry.incarnation(), monitor, false);
 		}
 	}
 
 	/**
-	 * Asks others about a member. If this process stood still meanwhile, the answers may
-	 * lie unread while the time for them is over, so the outcome means nothing.
+	 * Starts an inquiry about a member. The outcome is ignored if this process was paused
+	 * meanwhile: answers may then be waiting unread although the time-out has elapsed.
 	 * @param member the member
-	 * @param watch its watch
-	 * @param forVerdict whether a jury is asked rather than a few helpers
+	 * @param monitor its monitoring state
+	 * @param confirming whether to ask the quorum that confirms a death rather than a few
+	 * helpers
 	 */
-	private void ask(Incarnation member, Watch watch, boolean forVerdict) {
-		watch.asking = true;
+	private void inquire(Incarnation member, Monitor monitor, boolean confirming) {
+		monitor.inquiryPending = true;
 		VmId vm = member.vm();
-		long askedAt = this.clock.nanos();
-		this.inquiries.ask(vm, forVerdict ? this.jury.jurors(vm) : this.jury.helpers(vm), (outcome) -> {
-			watch.asking = false;
+		long startedAt = this.clock.nanos();
+		this.inquiries.start(vm, confirming ? this.quorum.voters(vm) : this.quorum.helpers(vm), (outcome) -> {
+			monitor.inquiryPending = false;
 			long now = this.clock.nanos();
-			boolean pausedMeanwhile = now - askedAt > 2 * this.times.inquiry().toNanos();
-			if (outcome.heard() || pausedMeanwhile) {
-				this.vouched.inc(outcome.heard() ? 1 : 0);
-				watch.heard(now);
+			boolean paused = now - startedAt > 2 * this.times.inquiryTimeout().toNanos();
+			if (outcome.reachable() || paused) {
+				this.reachableElsewhere.inc(outcome.reachable() ? 1 : 0);
+				monitor.recordContact(now);
 				return;
 			}
-			if (this.watches.get(vm) == watch && isStill(member)) {
-				condemn(member, watch, forVerdict, outcome);
+			if (this.monitors.get(vm) == monitor && isCurrent(member)) {
+				handleUnreachable(member, monitor, confirming, outcome);
 			}
 		});
 	}
 
-	private void condemn(Incarnation member, Watch watch, boolean forVerdict, Inquiries.Outcome outcome) {
+	private void handleUnreachable(Incarnation member, Monitor monitor, boolean confirming, Inquiries.Outcome outcome) {
 		long now = this.clock.nanos();
-		if (!forVerdict) {
-			watch.suspected = true;
-			watch.nextStepAt = now + this.times.suspicion().toNanos();
-			this.verdicts.suspect(member);
+		if (!confirming) {
+			monitor.suspected = true;
+			monitor.nextStepAt = now + this.times.suspicionTimeout().toNanos();
+			this.listener.suspect(member);
 		}
-		else if (this.jury.convicts(outcome, isLeaving(member))) {
-			this.verdicts.dead(member);
+		else if (this.quorum.confirmsDeath(outcome, isLeaving(member))) {
+			this.listener.declareDead(member);
 		}
 		else {
-			this.held.inc();
-			watch.nextStepAt = now + this.times.silence().toNanos();
+			this.unconfirmed.inc();
+			monitor.nextStepAt = now + this.times.heartbeatTimeout().toNanos();
 		}
 	}
 
@@ -137,41 +140,41 @@
 		return this.table.get(member.vm()).filter(MemberEntry::leaving).isPresent();
 	}
 
-	private boolean isStill(Incarnation member) {
+	private boolean isCurrent(Incarnation member) {
 		Optional<MemberEntry> entry = this.table.get(member.vm());
 		return entry.isPresent() && entry.get().incarnation().equals(member);
 	}
 
 	/**
-	 * Takes what the detector finds.
+	 * Receives the decisions of the detector.
 	 */
-	interface Verdicts {
+	interface Listener {
 
 		void suspect(Incarnation member);
 
-		void dead(Incarnation member);
+		void declareDead(Incarnation member);
 
 	}
 
 	/**
-	 * One watched member.
+	 * The monitoring state of one member.
 	 */
-	private static final class Watch {
+	private static final class Monitor {
 
-		private long heardAt;
+		private long lastContactAt;
 
 		private boolean suspected;
 
-		private boolean asking;
+		private boolean inquiryPending;
 
 		private long nextStepAt;
 
-		private Watch(long now) {
-			this.heardAt = now;
+		private Monitor(long now) {
+			this.lastContactAt = now;
 		}
 
-		private void heard(long now) {
-			this.heardAt = now;
+		private void recordContact(long now) {
+			this.lastContactAt = now;
 			this.suspected = false;
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Health.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Health.java
@@ -1,18 +1,21 @@
 package org.bramleyscale.internal.membership;
 
 /**
- * What heartbeats say of one incarnation, in the order in which claims win over others of
- * the same version.
+ * State of one incarnation as found by failure detection. Among claims of the same
+ * version the later constant wins.
  */
 enum Health {
 
-	/** It is heard. */
+	/** It is responsive. */
 	ALIVE,
 
-	/** It wasn't heard by its monitor nor by those asked to help. */
+	/** Neither its monitor nor the helpers that were asked could reach it. */
 	SUSPECT,
 
-	/** It stayed silent and a jury agreed, or its VM is gone. */
+	/**
+	 * It stayed unresponsive and a quorum confirmed that, or its VM was removed from the
+	 * platform's list.
+	 */
 	DEAD
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Heartbeats.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Heartbeats.java
@@ -12,19 +12,20 @@
 import org.bramleyscale.internal.peer.PeerNetwork;
 
 /**
- * Decides who gets this daemon's heartbeats and sends them.
+ * Selects the recipients of this daemon's heartbeats and sends them.
  *
  * <p>
- * Invariant: the number of heartbeats doesn't grow with the data centre; only those of
- * relays grow with the number of data centres. Confined to the scheduler's thread.
+ * Invariant: the number of heartbeats sent doesn't grow with the size of the data centre;
+ * only that of relays grows with the number of data centres. Confined to the scheduler's
+ * thread.
  */
 final class Heartbeats {
 
-	private static final int FAR_EVERY = 2;
+	private static final int REMOTE_EVERY_ROUNDS = 2;
 
 	private final MemberTable table;
 
-	private final DataCentreSilences silences;
+	private final DataCentreStatuses dataCentres;
 
 	private final Topology topology;
 
@@ -38,10 +39,10 @@
 
 	private long rounds;
 
-	Heartbeats(MemberTable table, DataCentreSilences silences, Topology topology, Relays relays, PeerNetwork network,
+	Heartbeats(MemberTable table, DataCentreStatuses dataCentres, Topology topology, Relays relays, PeerNetwork network,
 			RandomGenerator random, PeerIdentity self) {
 		this.table = table;
-		this.silences = silences;
+		this.dataCentres = dataCentres;
 		this.topology = topology;
 		this.relays = relays;
 		this.network = network;
@@ -50,15 +51,15 @@
 	}
 
 	/**
-	 * Sends one round.
+	 * Sends one round of heartbeats.
 	 */
 	void send() {
 		this.rounds++;
-		Set<VmId> targets = nearTargets();
+		Set<VmId> targets = localTargets();
 		if (this.relays.isRelay()) {
 			Set<VmId> connected = this.network.connected();
-			this.topology.strangers().stream().filter(connected::contains).forEach(targets::add);
-			if (this.rounds % FAR_EVERY == 0) {
+			this.topology.dialCandidates().stream().filter(connected::contains).forEach(targets::add);
+			if (this.rounds % REMOTE_EVERY_ROUNDS == 0) {
 				targets.addAll(this.relays.remote());
 			}
 		}
@@ -66,11 +67,11 @@
 	}
 
 	/**
-	 * The successors and one more connected member of the own data centre, so that
-	 * digests also travel across the rings.
+	 * Returns the successors and one more connected member of the local data centre, so
+	 * that digests also travel across the rings.
 	 * @return a new set, sorted by name
 	 */
-	Set<VmId> nearTargets() {
+	Set<VmId> localTargets() {
 		Set<VmId> targets = new TreeSet<>(Comparator.comparing(VmId::value));
 		targets.addAll(this.topology.neighbours().successors());
 		Set<VmId> connected = this.network.connected();
@@ -88,16 +89,18 @@
 	}
 
 	/**
-	 * Where this daemon, if a relay, sends outside its data centre.
-	 * @return the relays of the other data centres, or none
+	 * Returns the recipients outside the local data centre.
+	 * @return the relays of the other data centres if this daemon is a relay, otherwise
+	 * none
 	 */
-	Set<VmId> farTargets() {
+	Set<VmId> remoteTargets() {
 		return this.relays.isRelay() ? this.relays.remote() : Set.of();
 	}
 
 	private void sendTo(Set<VmId> targets) {
-		MemberEntry own = this.table.get(this.self.incarnation().vm()).orElseThrow();
-		Heartbeat heartbeat = new Heartbeat(own.version(), own.leaving(), this.table.digest(), this.silences.digest());
+		MemberEntry ownEntry = this.table.get(this.self.incarnation().vm()).orElseThrow();
+		Heartbeat heartbeat = new Heartbeat(ownEntry.version(), ownEntry.leaving(), this.table.digest(),
+				this.dataCentres.digest());
 		targets.forEach((target) -> this.network.send(target, heartbeat));
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Inquiries.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Inquiries.java
@@ -15,11 +15,12 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Asks others whether they hear a daemon, and answers others who ask.
+ * Asks other daemons whether they can reach a daemon, and answers their inquiries.
  *
  * <p>
- * Invariant: each inquiry has exactly one outcome, at once when somebody heard the target
- * or all have answered, else after a fixed time. Confined to the scheduler's thread.
+ * Invariant: each inquiry has exactly one outcome, as soon as one daemon has reached the
+ * target or all have answered, otherwise after a fixed time-out. Confined to the
+ * scheduler's thread.
  */
 final class Inquiries {
 
@@ -29,7 +30,7 @@
 
 	private final MembershipTimes times;
 
-	private final Map<Long, Open> open = new HashMap<>();
+	private final Map<Long, PendingInquiry> pending = new HashMap<>();
 
 	private final Map<Long, Consumer<Boolean>> probes = new HashMap<>();
 
@@ -39,33 +40,33 @@
 		this.scheduler = scheduler;
 		this.network = network;
 		this.times = times;
-		network.listen(Inquiry.class, this::answer);
-		network.listen(InquiryResult.class, this::answered);
+		network.listen(Inquiry.class, this::onInquiry);
+		network.listen(InquiryResult.class, this::onResult);
 		network.listen(Probe.class, (from, probe) -> network.send(from.vm(), new ProbeReply(probe.id())));
 		network.listen(ProbeReply.class, (from, reply) -> endProbe(reply.id(), true));
 	}
 
 	/**
-	 * Asks.
-	 * @param target the daemon not heard, which is probed directly as well
-	 * @param helpers whom to ask
-	 * @param listener takes the outcome
+	 * Starts an inquiry.
+	 * @param target the unresponsive daemon, which is also probed directly
+	 * @param helpers the daemons to ask
+	 * @param listener called with the outcome
 	 */
-	void ask(VmId target, Collection<VmId> helpers, Consumer<Outcome> listener) {
+	void start(VmId target, Collection<VmId> helpers, Consumer<Outcome> listener) {
 		long id = ++this.lastId;
-		Open inquiry = new Open(Set.copyOf(helpers), listener);
-		this.open.put(id, inquiry);
-		probe(target, (heard) -> note(id, null, heard));
+		PendingInquiry inquiry = new PendingInquiry(Set.copyOf(helpers), listener);
+		this.pending.put(id, inquiry);
+		probe(target, (reachable) -> recordResult(id, null, reachable));
 		helpers.forEach((helper) -> this.network.send(helper, new Inquiry(id, target)));
-		this.scheduler.schedule(this.times.inquiry(), () -> end(id));
+		this.scheduler.schedule(this.times.inquiryTimeout(), () -> end(id));
 	}
 
-	private void answered(Incarnation from, InquiryResult result) {
-		note(result.id(), from.vm(), result.heard());
+	private void onResult(Incarnation from, InquiryResult result) {
+		recordResult(result.id(), from.vm(), result.reachable());
 	}
 
-	private void note(long id, VmId helper, boolean heard) {
-		Open inquiry = this.open.get(id);
+	private void recordResult(long id, VmId helper, boolean reachable) {
+		PendingInquiry inquiry = this.pending.get(id);
 		if (inquiry == null) {
 			return;
 		}
@@ -75,51 +76,52 @@
 		else if (inquiry.asked.contains(helper)) {
 			inquiry.answered.add(helper);
 		}
-		inquiry.heard |= heard;
-		if (inquiry.heard || (inquiry.probed && inquiry.answered.size() == inquiry.asked.size())) {
+		inquiry.reachable |= reachable;
+		if (inquiry.reachable || (inquiry.probed && inquiry.answered.size() == inquiry.asked.size())) {
 			end(id);
 		}
 	}
 
 	private void end(long id) {
-		Open inquiry = this.open.remove(id);
+		PendingInquiry inquiry = this.pending.remove(id);
 		if (inquiry != null) {
 			inquiry.listener.accept(inquiry.outcome());
 		}
 	}
 
-	private void answer(Incarnation asker, Inquiry inquiry) {
-		probe(inquiry.target(), (heard) -> this.network.send(asker.vm(), new InquiryResult(inquiry.id(), heard)));
+	private void onInquiry(Incarnation asker, Inquiry inquiry) {
+		probe(inquiry.target(),
+				(reachable) -> this.network.send(asker.vm(), new InquiryResult(inquiry.id(), reachable)));
 	}
 
 	private void probe(VmId target, Consumer<Boolean> listener) {
 		long id = ++this.lastId;
 		this.probes.put(id, listener);
 		this.network.send(target, new Probe(id));
-		this.scheduler.schedule(this.times.probe(), () -> endProbe(id, false));
+		this.scheduler.schedule(this.times.probeTimeout(), () -> endProbe(id, false));
 	}
 
-	private void endProbe(long id, boolean heard) {
+	private void endProbe(long id, boolean reachable) {
 		Consumer<Boolean> listener = this.probes.remove(id);
 		if (listener != null) {
-			listener.accept(heard);
+			listener.accept(reachable);
 		}
 	}
 
 	/**
-	 * What an inquiry brought.
+	 * The outcome of an inquiry.
 	 *
-	 * @param heard whether the target was heard by this daemon or by one that was asked
-	 * @param answered who answered
-	 * @param unanswered who was asked and didn't answer
+	 * @param reachable whether this daemon or one of those asked reached the target
+	 * @param answered the daemons that answered
+	 * @param unanswered the daemons that were asked and didn't answer
 	 */
-	record Outcome(boolean heard, List<VmId> answered, List<VmId> unanswered) {
+	record Outcome(boolean reachable, List<VmId> answered, List<VmId> unanswered) {
 	}
 
 	/**
-	 * An inquiry without an outcome.
+	 * An inquiry that has no outcome yet.
 	 */
-	private static final class Open {
+	private static final class PendingInquiry {
 
 		private final Set<VmId> asked;
 
@@ -129,9 +131,9 @@
 
 		private boolean probed;
 
-		private boolean heard;
+		private boolean reachable;
 
-		private Open(Set<VmId> asked, Consumer<Outcome> listener) {
+		private PendingInquiry(Set<VmId> asked, Consumer<Outcome> listener) {
 			this.asked = asked;
 			this.listener = listener;
 		}
@@ -139,7 +141,7 @@
 		private Outcome outcome() {
 			List<VmId> unanswered = new ArrayList<>(this.asked);
 			unanswered.removeAll(this.answered);
-			return new Outcome(this.heard, List.copyOf(this.answered), List.copyOf(unanswered));
+			return new Outcome(this.reachable, List.copyOf(this.answered), List.copyOf(unanswered));
 		}
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Inquiry.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Inquiry.java
@@ -4,10 +4,10 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Asks the receiver to probe a third daemon.
+ * Asks the receiver to probe another daemon.
  *
- * @param id the asker's number for it
- * @param target the daemon that the asker doesn't hear
+ * @param id the inquiry's number, assigned by the sender
+ * @param target the daemon that the sender can't reach
  */
 record Inquiry(long id, VmId target) implements PeerMessage {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/InquiryResult.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/InquiryResult.java
@@ -3,11 +3,11 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Answers an inquiry.
+ * Answers an {@link Inquiry}.
  *
- * @param id the asker's number
- * @param heard whether the target answered the probe
+ * @param id the number of the inquiry
+ * @param reachable whether the target answered the probe
  */
-record InquiryResult(long id, boolean heard) implements PeerMessage {
+record InquiryResult(long id, boolean reachable) implements PeerMessage {
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Member.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Member.java
@@ -6,25 +6,25 @@
 import org.bramleyscale.internal.peer.VmCapacity;
 
 /**
- * One daemon as this daemon sees it.
+ * A daemon of the fleet as seen by this daemon.
  *
- * @param incarnation the latest start seen
- * @param dataCentre where it runs
+ * @param incarnation the latest start known
+ * @param dataCentre the data centre in which it runs
  * @param peerAddress {@code host:port} for peers
  * @param httpAddress {@code host:port} for callers
- * @param state what is known of it
- * @param capacity how large its VM is
+ * @param state its state
+ * @param capacity the capacity of its VM
  */
 public record Member(Incarnation incarnation, DataCentre dataCentre, String peerAddress, String httpAddress,
 		State state, VmCapacity capacity) {
 
 	/**
-	 * Makes a member on a VM of unknown size.
-	 * @param incarnation the latest start seen
-	 * @param dataCentre where it runs
+	 * Creates a member on a VM of unknown capacity.
+	 * @param incarnation the latest start known
+	 * @param dataCentre the data centre in which it runs
 	 * @param peerAddress {@code host:port} for peers
 	 * @param httpAddress {@code host:port} for callers
-	 * @param state what is known of it
+	 * @param state its state
 	 */
 	public Member(Incarnation incarnation, DataCentre dataCentre, String peerAddress, String httpAddress, State state) {
 		this(incarnation, dataCentre, peerAddress, httpAddress, state, VmCapacity.UNKNOWN);
@@ -35,20 +35,23 @@
 	}
 
 	/**
-	 * States in the order in which a member passes them.
+	 * The states, in the order in which a member passes through them.
 	 */
 	public enum State {
 
-		/** It answers. */
+		/** It is responsive. */
 		ALIVE,
 
-		/** It lately missed heartbeats; it gets work but isn't relied on. */
+		/**
+		 * Its heartbeats have been missing recently; it receives work but isn't relied
+		 * on.
+		 */
 		SUSPECT,
 
-		/** It finishes what it has and takes nothing new. */
+		/** It completes its current work and accepts no new work. */
 		LEAVING,
 
-		/** It has been silent for long, or a later start of it was seen. */
+		/** It has been unresponsive for long, or a later start of it is known. */
 		DEAD
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MemberEntry.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MemberEntry.java
@@ -8,20 +8,20 @@
 import org.bramleyscale.internal.peer.PeerIdentity;
 
 /**
- * One claim about one incarnation, as daemons pass it on.
+ * A versioned claim about the state of one incarnation, as daemons gossip it.
  *
  * <p>
  * Invariant: {@link #merge} is commutative, associative and idempotent, so that daemons
- * which got the same claims agree, in whatever order and however often the claims came. A
- * later start beats everything of an earlier one; within a start the leaving mark never
- * goes away, a greater version wins, and within a version the worse health wins. Only the
- * daemon itself raises its version, to refute a claim that it isn't alive. Immutable and
- * safe for use by multiple threads.
+ * which received the same claims agree, whatever the order and number of deliveries. A
+ * later start replaces every claim about an earlier one; within a start the leaving mark
+ * is never removed, the greater version wins, and within a version the worse health wins.
+ * Only the daemon itself raises its version, to refute a claim that it isn't alive.
+ * Immutable and safe for use by multiple threads.
  *
- * @param identity who it is and where
- * @param version raised by the daemon itself
- * @param health what heartbeats say
- * @param leaving whether it takes no new work
+ * @param identity the daemon's incarnation, location and addresses
+ * @param version raised only by the daemon itself
+ * @param health the state found by failure detection
+ * @param leaving whether it accepts no new work
  */
 record MemberEntry(PeerIdentity identity, int version, Health health, boolean leaving) {
 
@@ -40,8 +40,8 @@
 		return incarnation().vm();
 	}
 
-	MemberEntry withHealth(Health changed) {
-		return new MemberEntry(this.identity, this.version, changed, this.leaving);
+	MemberEntry withHealth(Health newHealth) {
+		return new MemberEntry(this.identity, this.version, newHealth, this.leaving);
 	}
 
 	MemberEntry withLeaving() {
@@ -49,19 +49,19 @@
 	}
 
 	/**
-	 * The claim with which the daemon itself answers a claim that it isn't alive.
-	 * @param claim the claim
+	 * Returns the claim with which the daemon refutes a claim that it isn't alive.
+	 * @param claim the claim to refute
 	 * @return a claim that wins over it
 	 */
 	MemberEntry refuting(MemberEntry claim) {
-		int winning = Math.max(this.version, claim.version) + 1;
-		return new MemberEntry(this.identity, winning, Health.ALIVE, this.leaving || claim.leaving);
+		int winningVersion = Math.max(this.version, claim.version) + 1;
+		return new MemberEntry(this.identity, winningVersion, Health.ALIVE, this.leaving || claim.leaving);
 	}
 
 	/**
-	 * Joins two claims about one VM.
+	 * Merges two claims about one VM.
 	 * @param other the other claim
-	 * @return the claim that both daemons hold afterwards
+	 * @return the merged claim
 	 */
 	MemberEntry merge(MemberEntry other) {
 		int byStart = Long.compare(incarnation().start(), other.incarnation().start());
@@ -69,12 +69,12 @@
 			return (byStart > 0) ? this : other;
 		}
 		MemberEntry winner = (compareClaim(other) >= 0) ? this : other;
-		boolean leaves = this.leaving || other.leaving;
-		return new MemberEntry(this.identity, winner.version, winner.health, leaves);
+		boolean eitherLeaving = this.leaving || other.leaving;
+		return new MemberEntry(this.identity, winner.version, winner.health, eitherLeaving);
 	}
 
 	/**
-	 * A hash that is the same on every daemon.
+	 * Returns a hash that is the same on every daemon.
 	 * @return 64 bits
 	 */
 	long fingerprint() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MemberHistory.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MemberHistory.java
@@ -5,7 +5,7 @@
 import org.bramleyscale.VmId;
 
 /**
- * How members came to be in the state that they are in.
+ * Describes how members reached their current state.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -13,7 +13,7 @@
 public interface MemberHistory {
 
 	/**
-	 * Whether a daemon ended after a planned stop, so that nobody needs to look for it.
+	 * Whether a daemon ended after a planned stop, so that its absence is not a failure.
 	 * @param vm its VM
 	 * @return true if it was leaving when it was declared dead
 	 */
@@ -22,7 +22,7 @@
 	/**
 	 * For how long heartbeats of a daemon have been missing.
 	 * @param vm its VM
-	 * @return the time, to a second or two, or zero if it answers
+	 * @return the time, accurate to a second or two, or zero if the daemon is responsive
 	 */
 	Duration silence(VmId vm);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MemberSummary.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MemberSummary.java
@@ -3,13 +3,13 @@
 import org.bramleyscale.VmId;
 
 /**
- * An entry without its addresses.
+ * A {@link MemberEntry} without its addresses.
  *
  * @param vm the VM
- * @param start the incarnation's start
- * @param version the entry's version
- * @param health the entry's health
- * @param leaving the entry's leaving mark
+ * @param start the start of the incarnation
+ * @param version the version of the entry
+ * @param health the health of the entry
+ * @param leaving whether the entry is marked as leaving
  */
 record MemberSummary(VmId vm, long start, int version, Health health, boolean leaving) {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MemberTable.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MemberTable.java
@@ -17,12 +17,12 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * The newest claim about each VM, with digests to compare it by.
+ * Holds the latest claim about each VM, with digests for comparing tables.
  *
  * <p>
- * Invariant: two tables with the same entries that aren't dead have the same digests; a
- * dead entry counts like a missing one, so that tables may forget their dead at different
- * times. Confined to the scheduler's thread.
+ * Invariant: two tables with the same entries that aren't dead have the same digests. A
+ * dead entry counts like a missing one, so that tables may remove dead entries at
+ * different times. Confined to the scheduler's thread.
  */
 final class MemberTable {
 
@@ -32,7 +32,7 @@
 
 	private final Map<VmId, Long> deadSince = new HashMap<>();
 
-	private final Map<VmId, Long> silentSince = new HashMap<>();
+	private final Map<VmId, Long> unresponsiveSince = new HashMap<>();
 
 	private final Map<DataCentre, Long> digests = new HashMap<>();
 
@@ -73,29 +73,29 @@
 	}
 
 	/**
-	 * Takes a claim.
+	 * Merges a claim into the table.
 	 * @param claim the claim
-	 * @return whether it changed the table
+	 * @return whether the table changed
 	 */
 	boolean merge(MemberEntry claim) {
-		MemberEntry held = this.entries.get(claim.vm());
-		MemberEntry merged = (held != null) ? held.merge(claim) : claim;
-		if (merged.equals(held)) {
+		MemberEntry current = this.entries.get(claim.vm());
+		MemberEntry merged = (current != null) ? current.merge(claim) : claim;
+		if (merged.equals(current)) {
 			return false;
 		}
-		if (held != null) {
-			count(held);
+		if (current != null) {
+			toggleInDigest(current);
 		}
-		count(merged);
+		toggleInDigest(merged);
 		this.entries.put(merged.vm(), merged);
-		noteDeath(merged);
-		noteSilence(merged);
-		noteChange();
+		updateDeadSince(merged);
+		updateUnresponsiveSince(merged);
+		recordChange();
 		return true;
 	}
 
 	/**
-	 * A number that differs after each change.
+	 * Returns a number that differs after each change.
 	 * @return the number of changes
 	 */
 	long changes() {
@@ -111,50 +111,50 @@
 	}
 
 	long digest() {
-		long all = 0;
+		long combined = 0;
 		for (long digest : this.digests.values()) {
-			all ^= digest;
+			combined ^= digest;
 		}
-		return all;
+		return combined;
 	}
 
 	/**
-	 * Forgets entries that have been dead for long.
-	 * @param nanos how long
+	 * Removes entries that have been dead for longer than a retention period.
+	 * @param retentionNanos the retention period
 	 */
-	void forgetDead(long nanos) {
+	void removeDead(long retentionNanos) {
 		long now = this.clock.nanos();
 		for (Iterator<Map.Entry<VmId, Long>> iterator = this.deadSince.entrySet().iterator(); iterator.hasNext();) {
 			Map.Entry<VmId, Long> dead = iterator.next();
-			if (now - dead.getValue() > nanos) {
+			if (now - dead.getValue() > retentionNanos) {
 				this.entries.remove(dead.getKey());
-				this.silentSince.remove(dead.getKey());
+				this.unresponsiveSince.remove(dead.getKey());
 				iterator.remove();
-				noteChange();
+				recordChange();
 			}
 		}
 	}
 
 	/**
-	 * For how long an entry hasn't been alive.
+	 * For how long a member hasn't been alive.
 	 * @param vm the VM
-	 * @return the time, or zero if it is alive or unknown
+	 * @return the time, or zero if the member is alive or unknown
 	 */
-	Duration silence(VmId vm) {
-		Long since = this.silentSince.get(vm);
+	Duration unresponsiveFor(VmId vm) {
+		Long since = this.unresponsiveSince.get(vm);
 		return (since != null) ? Duration.ofNanos(this.clock.nanos() - since) : Duration.ZERO;
 	}
 
-	private void noteSilence(MemberEntry merged) {
+	private void updateUnresponsiveSince(MemberEntry merged) {
 		if (merged.health() == Health.ALIVE) {
-			this.silentSince.remove(merged.vm());
+			this.unresponsiveSince.remove(merged.vm());
 		}
 		else {
-			this.silentSince.putIfAbsent(merged.vm(), this.clock.nanos());
+			this.unresponsiveSince.putIfAbsent(merged.vm(), this.clock.nanos());
 		}
 	}
 
-	private void noteDeath(MemberEntry merged) {
+	private void updateDeadSince(MemberEntry merged) {
 		if (merged.health() == Health.DEAD) {
 			this.deadSince.putIfAbsent(merged.vm(), this.clock.nanos());
 		}
@@ -163,12 +163,12 @@
 		}
 	}
 
-	private void noteChange() {
+	private void recordChange() {
 		this.changes++;
 		this.changedAt = this.clock.nanos();
 	}
 
-	private void count(MemberEntry entry) {
+	private void toggleInDigest(MemberEntry entry) {
 		if (entry.health() == Health.DEAD) {
 			return;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipDump.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipDump.java
@@ -8,41 +8,41 @@
 import org.bramleyscale.VmId;
 
 /**
- * Membership in the state dump.
+ * The part of the state dump that describes membership.
  *
  * @param self this daemon
  * @param relay whether it is a relay of its data centre
- * @param counts how many members there are of each state
- * @param expected whom heartbeats are expected from
- * @param silentDataCentres the data centres not heard
+ * @param counts the number of members in each state
+ * @param expected the members from which heartbeats are expected
+ * @param silentDataCentres the unresponsive data centres
  * @param members the first hundred members
  */
 record MembershipDump(String self, boolean relay, Map<Member.State, Integer> counts, List<String> expected,
 		List<String> silentDataCentres, List<Line> members) {
 
-	private static final int DUMPED_MEMBERS = 100;
+	private static final int MAX_MEMBERS = 100;
 
-	static MembershipDump of(MembershipView view, Relays relays, Topology topology, DataCentreSilences silences) {
+	static MembershipDump of(MembershipView view, Relays relays, Topology topology, DataCentreStatuses dataCentres) {
 		Map<Member.State, Integer> counts = new EnumMap<>(Member.State.class);
 		view.members().forEach((member) -> counts.merge(member.state(), 1, Integer::sum));
 		List<String> expected = topology.neighbours().predecessors().stream().map(VmId::value).toList();
-		List<String> silent = silences.claims()
+		List<String> unresponsive = dataCentres.claims()
 			.stream()
-			.filter(DataCentreSilence::silent)
-			.map(DataCentreSilence::target)
+			.filter(DataCentreStatus::unresponsive)
+			.map(DataCentreStatus::target)
 			.map(DataCentre::value)
 			.toList();
-		List<Line> lines = view.members().stream().limit(DUMPED_MEMBERS).map(Line::of).toList();
-		return new MembershipDump(view.self().toString(), relays.isRelay(), counts, expected, silent, lines);
+		List<Line> lines = view.members().stream().limit(MAX_MEMBERS).map(Line::of).toList();
+		return new MembershipDump(view.self().toString(), relays.isRelay(), counts, expected, unresponsive, lines);
 	}
 
 	/**
 	 * One member.
 	 *
 	 * @param incarnation its VM and start
-	 * @param dataCentre where it runs
-	 * @param peerAddress where it listens for peers
-	 * @param state what is known of it
+	 * @param dataCentre the data centre in which it runs
+	 * @param peerAddress the address on which it listens for peers
+	 * @param state its state
 	 */
 	record Line(String incarnation, String dataCentre, String peerAddress, Member.State state) {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipMessages.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipMessages.java
@@ -3,7 +3,8 @@
 import org.bramleyscale.internal.peer.MessageCatalog;
 
 /**
- * The codes 10 to 19 of the wire protocol.
+ * Registers the messages of membership, which use the codes 10 to 19 of the wire
+ * protocol.
  */
 public final class MembershipMessages {
 
@@ -29,8 +30,8 @@
 	}
 
 	/**
-	 * Enters this slice's messages.
-	 * @param builder the catalog
+	 * Adds the messages of membership to a catalog.
+	 * @param builder the builder of the catalog
 	 * @return the same builder
 	 */
 	public static MessageCatalog.Builder register(MessageCatalog.Builder builder) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipService.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipService.java
@@ -21,15 +21,15 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Keeps this daemon's view of all daemons up to date.
+ * Maintains this daemon's view of all daemons of the fleet.
  *
  * <p>
- * Members of a data centre exchange heartbeats with a few neighbours, push changed claims
- * on, and compare their tables when digests differ; two relays of each data centre do the
- * same with those of the others and read the platform's list. Invariants: an entry
- * appears only once its daemon has spoken; a daemon is declared dead only after silence
- * seen by heartbeats; the leaving mark of an incarnation never goes away. Confined to the
- * scheduler's thread. <pre>
+ * Members of a data centre exchange heartbeats with a few neighbours, gossip changed
+ * claims, and compare their tables when digests differ; two relays of each data centre do
+ * the same with the relays of the others and read the platform's list of VMs. Invariants:
+ * a member appears only after a message from its daemon was received; a daemon is
+ * declared dead only after its heartbeats have been missing; the leaving mark of an
+ * incarnation is never removed. Confined to the scheduler's thread. <pre>
  * MembershipService membership = MembershipService.builder()
  *     .settings(settings).scheduler(scheduler).network(network)
  *     .store(store).random(random).metrics(metrics).build();
@@ -48,7 +48,7 @@
 
 	private final MemberTable table;
 
-	private final DataCentreSilences silences;
+	private final DataCentreStatuses dataCentres;
 
 	private final Relays relays;
 
@@ -62,13 +62,13 @@
 
 	private final FailureDetector detector;
 
-	private final PlatformPoll platform;
+	private final PlatformPoll platformPoll;
 
 	private final List<Runnable> leaveListeners = new ArrayList<>();
 
 	private final List<Cancellable> timers = new ArrayList<>();
 
-	private boolean leaveReported;
+	private boolean leaveNotified;
 
 	private boolean wasRelay;
 
@@ -79,30 +79,31 @@
 		this.scheduler = builder.scheduler;
 		this.random = builder.random;
 		this.times = builder.settings.times();
-		DataCentre own = this.identity.dataCentre();
+		DataCentre localDataCentre = this.identity.dataCentre();
 		VmId self = this.identity.incarnation().vm();
 		PlatformList list = new PlatformList(this.scheduler, this.times, builder.settings.seeds());
 		this.table = new MemberTable(this.scheduler);
-		this.silences = new DataCentreSilences(own, this.scheduler);
-		this.relays = new Relays(this.table, self, own);
+		this.dataCentres = new DataCentreStatuses(localDataCentre, this.scheduler);
+		this.relays = new Relays(this.table, self, localDataCentre);
 		this.topology = new Topology(this.table, this.relays, list, builder.settings, this.scheduler);
-		this.view = new ViewCache(this.table, this.silences, own, this.times.silence());
-		this.heartbeats = new Heartbeats(this.table, this.silences, this.topology, this.relays, builder.network,
+		this.view = new ViewCache(this.table, this.dataCentres, localDataCentre, this.times.heartbeatTimeout());
+		this.heartbeats = new Heartbeats(this.table, this.dataCentres, this.topology, this.relays, builder.network,
 				this.random, this.identity);
-		Rumours rumours = new Rumours(this.table, this.silences, builder.network, this.scheduler, own,
-				this.heartbeats::nearTargets, this.heartbeats::farTargets);
-		this.claims = new Claims(this.table, this.silences, rumours, this.view, this.identity.incarnation(),
-				this::reportLeaving, builder.metrics);
+		ClaimGossip gossip = new ClaimGossip(this.table, this.dataCentres, builder.network, this.scheduler,
+				localDataCentre, this.heartbeats::localTargets, this.heartbeats::remoteTargets);
+		this.claims = new Claims(this.table, this.dataCentres, gossip, this.view, this.identity.incarnation(),
+				this::notifyLeaving, builder.metrics);
 		Inquiries inquiries = new Inquiries(this.scheduler, builder.network, this.times);
-		Jury jury = new Jury(this.table, self, own, this.random);
-		this.detector = new FailureDetector(this.table, inquiries, jury, this.scheduler, this.times, this.claims,
+		DeathQuorum quorum = new DeathQuorum(this.table, self, localDataCentre, this.random);
+		this.detector = new FailureDetector(this.table, inquiries, quorum, this.scheduler, this.times, this.claims,
 				builder.metrics);
-		this.platform = new PlatformPoll(builder.store, list, this.table, this.silences, this.relays, this.claims, own,
-				this.times.suspicion(), builder.metrics);
+		this.platformPoll = new PlatformPoll(builder.store, list, this.table, this.dataCentres, this.relays,
+				this.claims, localDataCentre, this.times.suspicionTimeout(), builder.metrics);
 		TableExchange exchange = new TableExchange(this.table, builder.network, this.scheduler, this.times,
 				builder.metrics);
-		new Receiver(this.table, this.claims, this.silences, exchange, this.detector, builder.network, own);
-		this.claims.enterSelf(this.identity);
+		new Receiver(this.table, this.claims, this.dataCentres, exchange, this.detector, builder.network,
+				localDataCentre);
+		this.claims.addSelf(this.identity);
 	}
 
 	public static Builder builder() {
@@ -110,17 +111,17 @@
 	}
 
 	/**
-	 * Starts heartbeats and polls.
+	 * Starts heartbeats and reads of the platform's list.
 	 */
 	public void start() {
 		this.lastTick = this.scheduler.nanos();
-		this.platform.poll();
-		startTimer(this.times.heartbeat(), this::tick);
-		startTimer(this.times.poll(), this.platform::poll);
+		this.platformPoll.poll();
+		startTimer(this.times.heartbeatInterval(), this::tick);
+		startTimer(this.times.pollInterval(), this.platformPoll::poll);
 	}
 
 	/**
-	 * Ends heartbeats and polls.
+	 * Stops heartbeats and reads of the platform's list.
 	 */
 	public void stop() {
 		this.timers.forEach(Cancellable::cancel);
@@ -128,16 +129,16 @@
 	}
 
 	/**
-	 * Marks this daemon as leaving and tells the others at once.
+	 * Marks this daemon as leaving and notifies the others at once.
 	 */
 	public void leave() {
 		this.claims.markLeaving(this.identity.incarnation().vm());
 	}
 
 	/**
-	 * Adds a listener called once when this daemon is to leave: by {@link #leave()},
-	 * because the platform plans to take its VM away, or because a later start of it was
-	 * seen.
+	 * Adds a listener that is called once when this daemon has to leave: because of
+	 * {@link #leave()}, because the platform plans to remove its VM, or because a later
+	 * start of the daemon on the same VM became known.
 	 * @param listener the listener
 	 */
 	public void onLeave(Runnable listener) {
@@ -145,7 +146,7 @@
 	}
 
 	/**
-	 * Tells the network with whom to keep connections.
+	 * Returns the directory that tells the network which connections to keep.
 	 * @return the directory
 	 */
 	public PeerDirectory directory() {
@@ -183,11 +184,12 @@
 	}
 
 	/**
-	 * How many daemons there should be, whether they answer or not.
+	 * The number of daemons that should exist, whether they are responsive or not.
 	 * <p>
-	 * A daemon that ended by a planned stop no longer counts; one that died counts until
-	 * its entry is forgotten, since a group that is cut off can't tell death from a cut.
-	 * @return the number, this daemon included
+	 * A daemon that ended by a planned stop isn't counted; one that failed is counted
+	 * until its entry is removed, since a partitioned group can't tell a crash from a
+	 * partition.
+	 * @return the number, including this daemon
 	 */
 	public int expected() {
 		return (int) this.table.all()
@@ -197,7 +199,7 @@
 	}
 
 	/**
-	 * Whether this daemon is one of the few that keep connections with those of other
+	 * Whether this daemon is one of the few that keep connections to daemons of other
 	 * data centres.
 	 * @return true for a relay
 	 */
@@ -207,7 +209,7 @@
 
 	/**
 	 * The relays of this data centre.
-	 * @return their VMs, this daemon's own if it is one
+	 * @return their VMs, including this daemon's own if it is a relay
 	 */
 	public List<VmId> relays() {
 		return this.relays.of(this.identity.dataCentre());
@@ -232,7 +234,7 @@
 
 	@Override
 	public Object dump() {
-		return MembershipDump.of(this, this.relays, this.topology, this.silences);
+		return MembershipDump.of(this, this.relays, this.topology, this.dataCentres);
 	}
 
 	private void startTimer(Duration period, Runnable task) {
@@ -245,36 +247,36 @@
 
 	private void tick() {
 		long now = this.scheduler.nanos();
-		boolean paused = now - this.lastTick > 2 * this.times.heartbeat().toNanos();
+		boolean paused = now - this.lastTick > 2 * this.times.heartbeatInterval().toNanos();
 		this.lastTick = now;
 		this.detector.tick(this.topology.neighbours().predecessors());
 		this.heartbeats.send();
-		observeOthers(paused);
-		this.platform.apply();
-		this.table.forgetDead(this.times.forgetDead().toNanos());
+		observeDataCentres(paused);
+		this.platformPoll.apply();
+		this.table.removeDead(this.times.deadRetention().toNanos());
 	}
 
-	private void observeOthers(boolean paused) {
+	private void observeDataCentres(boolean paused) {
 		boolean relay = this.relays.isRelay();
 		if (paused || relay != this.wasRelay) {
-			this.silences.forgetObservations();
+			this.dataCentres.resetObservations();
 		}
 		this.wasRelay = relay;
-		long limit = this.times.dataCentreSilence().toNanos();
-		if (relay && this.silences.observe(this.relays.otherDataCentres(), limit)) {
-			this.claims.silencesChanged();
+		long timeoutNanos = this.times.dataCentreTimeout().toNanos();
+		if (relay && this.dataCentres.updateClaims(this.relays.otherDataCentres(), timeoutNanos)) {
+			this.claims.dataCentresChanged();
 		}
 	}
 
-	private void reportLeaving() {
-		if (!this.leaveReported) {
-			this.leaveReported = true;
+	private void notifyLeaving() {
+		if (!this.leaveNotified) {
+			this.leaveNotified = true;
 			this.leaveListeners.forEach(Runnable::run);
 		}
 	}
 
 	/**
-	 * Collects what membership needs; not safe for use by multiple threads.
+	 * Builds a {@link MembershipService}. Not safe for use by multiple threads.
 	 */
 	public static final class Builder {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipSettings.java
@@ -11,15 +11,17 @@
  * <p>
  * Immutable and safe for use by multiple threads.
  *
- * @param identity this daemon
- * @param seeds the VMs to dial before the platform's list could be read, possibly none
- * @param meshLimit up to this many members of a data centre connect each with each;
- * beyond it each keeps connections with its neighbours and opens others on demand
- * @param times the times
+ * @param identity the identity of this daemon
+ * @param seeds the VMs to dial until the platform's list has been read, possibly none
+ * @param meshLimit the maximum number of members of a data centre that form a full mesh;
+ * beyond it each member keeps connections to its neighbours and opens others on demand
+ * @param times the intervals and time-outs
  */
 public record MembershipSettings(PeerIdentity identity, List<VmRecord> seeds, int meshLimit, MembershipTimes times) {
 
-	/** Small data centres connect each with each. */
+	/**
+	 * The default size up to which the members of a data centre form a full mesh.
+	 */
 	public static final int DEFAULT_MESH_LIMIT = 16;
 
 	public MembershipSettings {
@@ -30,9 +32,9 @@
 	}
 
 	/**
-	 * The usual settings.
-	 * @param identity this daemon
-	 * @param seeds the VMs to dial before the platform's list could be read
+	 * Returns the default settings.
+	 * @param identity the identity of this daemon
+	 * @param seeds the VMs to dial until the platform's list has been read
 	 * @return the settings
 	 */
 	public static MembershipSettings of(PeerIdentity identity, List<VmRecord> seeds) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipTimes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipTimes.java
@@ -3,33 +3,39 @@
 import java.time.Duration;
 
 /**
- * The times of membership.
+ * The intervals and time-outs of membership.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
  *
- * @param heartbeat the pause between heartbeats
- * @param silence after this long without a heartbeat others are asked to probe
- * @param probe how long a probe may take
- * @param inquiry how long the answers of those asked may take; greater than probe
- * @param suspicion how long a suspect has to refute before a jury is asked
- * @param dataCentreSilence after this long without a word from a data centre all its
- * members are suspect
- * @param poll the pause between readings of the platform's list
- * @param listLag the longest time by which the platform's list is late
- * @param settle how long pushed claims may take before differing tables are compared
- * @param exchange the shortest time between two comparisons
- * @param longestUnsettled after this long tables are compared though claims keep coming
- * @param forgetDead how long dead entries are kept
+ * @param heartbeatInterval the interval between heartbeats
+ * @param heartbeatTimeout the time without a heartbeat after which other daemons are
+ * asked to probe the member
+ * @param probeTimeout the time-out of a probe
+ * @param inquiryTimeout the time-out for the answers of the daemons asked; greater than
+ * the probe time-out
+ * @param suspicionTimeout the time that a suspect has to refute before the quorum is
+ * asked
+ * @param dataCentreTimeout the time without a message from a data centre after which all
+ * its members are suspect
+ * @param pollInterval the interval between reads of the platform's list
+ * @param maxListLag the maximum lag of the platform's list
+ * @param settleTime the time allowed for gossip to deliver claims before differing tables
+ * are compared
+ * @param exchangeInterval the minimum interval between two comparisons
+ * @param maxExchangeDelay the time after which tables are compared although claims keep
+ * arriving
+ * @param deadRetention the time for which dead entries are kept
  */
-public record MembershipTimes(Duration heartbeat, Duration silence, Duration probe, Duration inquiry,
-		Duration suspicion, Duration dataCentreSilence, Duration poll, Duration listLag, Duration settle,
-		Duration exchange, Duration longestUnsettled, Duration forgetDead) {
+public record MembershipTimes(Duration heartbeatInterval, Duration heartbeatTimeout, Duration probeTimeout,
+		Duration inquiryTimeout, Duration suspicionTimeout, Duration dataCentreTimeout, Duration pollInterval,
+		Duration maxListLag, Duration settleTime, Duration exchangeInterval, Duration maxExchangeDelay,
+		Duration deadRetention) {
 
 	/**
-	 * What daemons use unless a test says otherwise. A lost data centre must show before
-	 * the configuration counts as stale: daemons cut off together confirm each other's
-	 * version, and only the missing majority tells them that nobody else does.
+	 * The defaults. The loss of a data centre must be detected before the configuration
+	 * counts as stale: daemons in the same partition confirm each other's version, and
+	 * only the missing majority shows them that no other daemon does.
 	 */
 	public static final MembershipTimes DEFAULT = new MembershipTimes(Duration.ofSeconds(1), Duration.ofSeconds(3),
 			Duration.ofMillis(600), Duration.ofSeconds(1), Duration.ofSeconds(5), Duration.ofSeconds(3),
@@ -37,8 +43,9 @@
 			Duration.ofSeconds(10), Duration.ofHours(1));
 
 	public MembershipTimes {
-		if (inquiry.compareTo(probe) <= 0) {
-			throw new IllegalArgumentException("inquiry time must exceed the probe time " + probe + ", was " + inquiry);
+		if (inquiryTimeout.compareTo(probeTimeout) <= 0) {
+			throw new IllegalArgumentException(
+					"inquiry time-out must exceed the probe time-out " + probeTimeout + ", was " + inquiryTimeout);
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipView.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipView.java
@@ -9,7 +9,7 @@
 import org.bramleyscale.VmId;
 
 /**
- * Which daemons exist and answer, as far as this daemon knows.
+ * Provides the daemons known to this daemon and their states.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -21,7 +21,7 @@
 	DataCentre dataCentre();
 
 	/**
-	 * All members known, this daemon included, sorted by VM name.
+	 * Returns all known members, including this daemon, sorted by VM name.
 	 * @return the members
 	 */
 	Collection<Member> members();
@@ -29,13 +29,14 @@
 	Optional<Member> member(VmId vm);
 
 	/**
-	 * Members that may be given new work: alive or suspect, not leaving and not dead.
+	 * Returns the members that may receive new work: alive or suspect, neither leaving
+	 * nor dead.
 	 * @return the members, sorted by VM name
 	 */
 	List<Member> eligible();
 
 	/**
-	 * Adds a listener called after each change of the view.
+	 * Adds a listener that is called after each change of the view.
 	 * @param listener the listener
 	 */
 	void onChange(Runnable listener);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Neighbours.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Neighbours.java
@@ -12,23 +12,24 @@
 import org.bramleyscale.VmId;
 
 /**
- * Who sends heartbeats to whom inside a data centre.
+ * The members with which a member exchanges heartbeats inside its data centre.
  *
  * <p>
- * The members stand on three rings, each in another order by hash. A member sends to the
- * next one on each ring and expects to hear the one before it. So each has about three
- * monitors whatever the size, a claim reaches all in few hops, and VMs with adjacent
- * names, which may share a rack, seldom monitor each other. Immutable.
+ * The members are arranged on three rings, each ordered by a different hash. A member
+ * sends to its successor on each ring and expects heartbeats from its predecessor. So
+ * each member has about three monitors whatever the size of the data centre, a claim
+ * reaches all members in few hops, and VMs with adjacent names, which may share a rack,
+ * seldom monitor each other. Immutable.
  *
- * @param successors whom to send to
- * @param predecessors whom to expect heartbeats from
+ * @param successors the members to send heartbeats to
+ * @param predecessors the members to expect heartbeats from
  */
 record Neighbours(Set<VmId> successors, Set<VmId> predecessors) {
 
 	private static final int RINGS = 3;
 
 	/**
-	 * Finds the neighbours of one member.
+	 * Determines the neighbours of a member.
 	 * @param self the member
 	 * @param members the members of its data centre, with or without itself
 	 * @return its neighbours
@@ -40,9 +41,9 @@
 		all.add(self);
 		for (int ring = 0; ring < RINGS; ring++) {
 			List<VmId> order = order(ring, all);
-			int place = order.indexOf(self);
-			successors.add(order.get((place + 1) % order.size()));
-			predecessors.add(order.get((place + order.size() - 1) % order.size()));
+			int position = order.indexOf(self);
+			successors.add(order.get((position + 1) % order.size()));
+			predecessors.add(order.get((position + order.size() - 1) % order.size()));
 		}
 		successors.remove(self);
 		predecessors.remove(self);
@@ -50,22 +51,22 @@
 	}
 
 	private static List<VmId> order(int ring, Collection<VmId> members) {
-		List<Place> places = new ArrayList<>(members.size());
+		List<Position> positions = new ArrayList<>(members.size());
 		for (VmId member : members) {
 			long hash = Hashing.murmur3_128(ring).hashString(member.value(), StandardCharsets.UTF_8).asLong();
-			places.add(new Place(hash, member));
+			positions.add(new Position(hash, member));
 		}
-		places.sort(Comparator.comparingLong(Place::hash).thenComparing((place) -> place.member().value()));
-		return places.stream().map(Place::member).toList();
+		positions.sort(Comparator.comparingLong(Position::hash).thenComparing((position) -> position.member().value()));
+		return positions.stream().map(Position::member).toList();
 	}
 
 	/**
-	 * A member's place on one ring.
+	 * A member's position on one ring.
 	 *
-	 * @param hash the place
+	 * @param hash the hash by which members are ordered
 	 * @param member the member
 	 */
-	private record Place(long hash, VmId member) {
+	private record Position(long hash, VmId member) {
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/PlatformList.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/PlatformList.java
@@ -15,66 +15,67 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * What the platform's lagging list says, and what may be concluded from it.
+ * Holds the platform's list of VMs, which lags behind, and what may be concluded from it.
  *
  * <p>
- * The list says which VMs exist and where; it never says who answers. Its leaving mark
- * belongs to a VM, not to an incarnation, and is late: taken at once it would mark a
- * daemon that has just been started again after a planned stop, and a leaving mark never
- * goes away. So a mark counts for the incarnation that was known when the mark was seen
- * to appear, and for any other only once it has stood for longer than the list can lag.
- * On a first reading it isn't known which came first. Confined to the scheduler's thread.
+ * The list says which VMs exist and where, but not whether their daemons are responsive.
+ * Its leaving mark belongs to a VM, not to an incarnation, and arrives late: if applied
+ * at once it would mark a daemon that has just been restarted after a planned stop, and a
+ * leaving mark is never removed. So a mark applies to the incarnation that was known when
+ * the mark was seen to appear, and to any other only after it has been present for longer
+ * than the maximum lag of the list. On the first read the order of the two is unknown.
+ * Confined to the scheduler's thread.
  */
 final class PlatformList {
 
-	private static final int GONE_AFTER_LISTS = 2;
+	private static final int REMOVED_AFTER_READS = 2;
 
-	private static final int MOST_POLLS_BETWEEN = 4;
+	private static final int MAX_POLLS_BETWEEN_READS = 4;
 
 	private final Clock clock;
 
 	private final long lagNanos;
 
-	private final long gapNanos;
+	private final long maxGapNanos;
 
 	private final Map<VmId, VmRecord> records = new HashMap<>();
 
-	private final Map<VmId, Integer> missing = new HashMap<>();
+	private final Map<VmId, Integer> missedReads = new HashMap<>();
 
 	private final Map<VmId, LeavingMark> marks = new HashMap<>();
 
-	private long readAt;
+	private long lastReadAt;
 
-	private boolean readBefore;
+	private boolean hasRead;
 
 	PlatformList(Clock clock, MembershipTimes times, Collection<VmRecord> seeds) {
 		this.clock = clock;
-		this.lagNanos = times.listLag().toNanos();
-		this.gapNanos = MOST_POLLS_BETWEEN * times.poll().toNanos();
+		this.lagNanos = times.maxListLag().toNanos();
+		this.maxGapNanos = MAX_POLLS_BETWEEN_READS * times.pollInterval().toNanos();
 		seeds.forEach((seed) -> this.records.put(seed.vm(), seed));
 	}
 
 	/**
-	 * Takes a reading.
-	 * @param list the list
-	 * @param table the members known
+	 * Updates the list.
+	 * @param list the list as read from the platform
+	 * @param table the known members
 	 */
 	void read(List<VmRecord> list, MemberTable table) {
 		long now = this.clock.nanos();
-		boolean following = this.readBefore && now - this.readAt <= this.gapNanos;
-		this.readBefore = true;
-		this.readAt = now;
-		Map<VmId, VmRecord> before = Map.copyOf(this.records);
+		boolean consecutive = this.hasRead && now - this.lastReadAt <= this.maxGapNanos;
+		this.hasRead = true;
+		this.lastReadAt = now;
+		Map<VmId, VmRecord> previous = Map.copyOf(this.records);
 		this.records.clear();
 		for (VmRecord entry : list) {
 			this.records.put(entry.vm(), entry);
-			this.missing.remove(entry.vm());
-			noteMark(entry, following ? table.get(entry.vm()) : Optional.empty());
+			this.missedReads.remove(entry.vm());
+			updateMark(entry, consecutive ? table.get(entry.vm()) : Optional.empty());
 		}
-		before.keySet().stream().filter((vm) -> !this.records.containsKey(vm)).forEach(this.marks::remove);
+		previous.keySet().stream().filter((vm) -> !this.records.containsKey(vm)).forEach(this.marks::remove);
 		for (MemberEntry member : table.all()) {
 			if (!this.records.containsKey(member.vm())) {
-				this.missing.merge(member.vm(), 1, Integer::sum);
+				this.missedReads.merge(member.vm(), 1, Integer::sum);
 			}
 		}
 	}
@@ -84,11 +85,11 @@
 	}
 
 	/**
-	 * The listed VMs of a data centre.
+	 * Returns the listed VMs of a data centre.
 	 * @param dataCentre the data centre
-	 * @return their names
+	 * @return the VMs
 	 */
-	Set<VmId> in(DataCentre dataCentre) {
+	Set<VmId> vmsIn(DataCentre dataCentre) {
 		Set<VmId> result = new HashSet<>();
 		for (VmRecord entry : this.records.values()) {
 			if (entry.dataCentre().equals(dataCentre)) {
@@ -107,28 +108,29 @@
 	/**
 	 * Whether the list marks an incarnation as leaving.
 	 * @param member the incarnation
-	 * @return true if the mark surely concerns this incarnation
+	 * @return true if the mark certainly applies to this incarnation
 	 */
-	boolean leaving(Incarnation member) {
+	boolean isLeaving(Incarnation member) {
 		LeavingMark mark = this.marks.get(member.vm());
-		return mark != null && (member.equals(mark.known()) || this.clock.nanos() - mark.since() > this.lagNanos);
+		return mark != null
+				&& (member.equals(mark.knownIncarnation()) || this.clock.nanos() - mark.since() > this.lagNanos);
 	}
 
 	/**
-	 * Whether a VM has been taken off the list.
+	 * Whether a VM has been removed from the list.
 	 * @param vm the VM
-	 * @return true if several readings in a row didn't have it
+	 * @return true if several consecutive reads didn't contain it
 	 */
-	boolean gone(VmId vm) {
-		return this.missing.getOrDefault(vm, 0) >= GONE_AFTER_LISTS;
+	boolean isRemoved(VmId vm) {
+		return this.missedReads.getOrDefault(vm, 0) >= REMOVED_AFTER_READS;
 	}
 
-	private void noteMark(VmRecord entry, Optional<MemberEntry> known) {
+	private void updateMark(VmRecord entry, Optional<MemberEntry> member) {
 		if (!entry.leaving()) {
 			this.marks.remove(entry.vm());
 		}
 		else if (!this.marks.containsKey(entry.vm())) {
-			Incarnation incarnation = known.map(MemberEntry::incarnation).orElse(null);
+			Incarnation incarnation = member.map(MemberEntry::incarnation).orElse(null);
 			this.marks.put(entry.vm(), new LeavingMark(incarnation, this.clock.nanos()));
 		}
 	}
@@ -136,10 +138,11 @@
 	/**
 	 * A leaving mark of the list.
 	 *
-	 * @param known the incarnation known when the mark was seen to appear, or null
-	 * @param since when it appeared here
+	 * @param knownIncarnation the incarnation known when the mark was seen to appear, or
+	 * null
+	 * @param since the time at which this daemon first saw the mark
 	 */
-	private record LeavingMark(Incarnation known, long since) {
+	private record LeavingMark(Incarnation knownIncarnation, long since) {
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/PlatformPoll.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/PlatformPoll.java
@@ -10,13 +10,14 @@
 import org.bramleyscale.internal.platform.VmRecord;
 
 /**
- * Reads the platform's list, on relays only, and applies what follows from it.
+ * Reads the platform's list of VMs, on relays only, and applies the resulting changes.
  *
  * <p>
- * Invariant: the list alone declares nobody dead. A member is declared dead for being off
- * the list only if its whole data centre is silent, so that nobody is left there to hear
- * its silence. If all of a silent data centre were leaving, their end was planned and
- * needs no list to confirm it; one that lives after all refutes. Confined to the
+ * Invariant: no member is declared dead because of the list alone. A member that was
+ * removed from the list is declared dead only if its whole data centre is unresponsive,
+ * so that no member is left there to detect its failure. If all members of an
+ * unresponsive data centre were leaving, their end was planned and needs no confirmation
+ * by the list; a member that is still alive refutes the claim. Confined to the
  * scheduler's thread.
  */
 final class PlatformPoll {
@@ -27,44 +28,44 @@
 
 	private final MemberTable table;
 
-	private final DataCentreSilences silences;
+	private final DataCentreStatuses dataCentres;
 
 	private final Relays relays;
 
 	private final Claims claims;
 
-	private final DataCentre own;
+	private final DataCentre localDataCentre;
 
-	private final Duration suspicion;
+	private final Duration suspicionTimeout;
 
 	private final Counter polls;
 
-	private boolean reading;
+	private boolean readPending;
 
-	PlatformPoll(ObjectStore store, PlatformList list, MemberTable table, DataCentreSilences silences, Relays relays,
-			Claims claims, DataCentre own, Duration suspicion, MetricRegistry metrics) {
+	PlatformPoll(ObjectStore store, PlatformList list, MemberTable table, DataCentreStatuses dataCentres, Relays relays,
+			Claims claims, DataCentre localDataCentre, Duration suspicionTimeout, MetricRegistry metrics) {
 		this.store = store;
 		this.list = list;
 		this.table = table;
-		this.silences = silences;
+		this.dataCentres = dataCentres;
 		this.relays = relays;
 		this.claims = claims;
-		this.own = own;
-		this.suspicion = suspicion;
+		this.localDataCentre = localDataCentre;
+		this.suspicionTimeout = suspicionTimeout;
 		this.polls = metrics.counter("membership.list-polls");
 	}
 
 	/**
-	 * Reads the list if this daemon is a relay and no reading is under way.
+	 * Reads the list if this daemon is a relay and no read is pending.
 	 */
 	void poll() {
-		if (this.reading || !this.relays.isRelay()) {
+		if (this.readPending || !this.relays.isRelay()) {
 			return;
 		}
-		this.reading = true;
+		this.readPending = true;
 		this.polls.inc();
 		this.store.vms().whenComplete((records, failure) -> {
-			this.reading = false;
+			this.readPending = false;
 			if (failure == null) {
 				read(records);
 			}
@@ -72,34 +73,35 @@
 	}
 
 	/**
-	 * Applies the marks of the latest reading, which count for more as they age.
+	 * Applies the leaving marks and removals of the latest read. It is called repeatedly
+	 * since a mark applies to more incarnations as it ages.
 	 */
 	void apply() {
 		if (!this.relays.isRelay()) {
 			return;
 		}
 		for (MemberEntry entry : List.copyOf(this.table.all())) {
-			boolean near = entry.identity().dataCentre().equals(this.own);
-			if (near && !entry.leaving() && this.list.leaving(entry.incarnation())) {
+			boolean local = entry.identity().dataCentre().equals(this.localDataCentre);
+			if (local && !entry.leaving() && this.list.isLeaving(entry.incarnation())) {
 				this.claims.markLeaving(entry.vm());
 			}
-			else if (!near && this.silences.silent(entry.identity().dataCentre()) && isOver(entry)) {
-				this.claims.dead(entry.incarnation());
+			else if (!local && this.dataCentres.isUnresponsive(entry.identity().dataCentre()) && isDead(entry)) {
+				this.claims.declareDead(entry.incarnation());
 			}
 		}
 	}
 
 	/**
-	 * Whether a member of a silent data centre is dead. Of a leaving one that only paused
-	 * others would say that nobody knows what became of its requests, so it gets the time
-	 * that any suspect has to refute.
+	 * Whether a member of an unresponsive data centre is dead. If a leaving member that
+	 * was only paused were declared dead, other daemons would report the outcome of its
+	 * requests as unknown, so it gets the same time to refute as any suspect.
 	 * @param entry the member
-	 * @return true if its end is certain enough
+	 * @return true if its end is sufficiently certain
 	 */
-	private boolean isOver(MemberEntry entry) {
+	private boolean isDead(MemberEntry entry) {
 		DataCentre dataCentre = entry.identity().dataCentre();
-		boolean silentForLong = this.silences.silence(dataCentre).compareTo(this.suspicion) >= 0;
-		return this.list.gone(entry.vm()) || (silentForLong && this.relays.allLeaving(dataCentre));
+		boolean suspicionElapsed = this.dataCentres.unresponsiveFor(dataCentre).compareTo(this.suspicionTimeout) >= 0;
+		return this.list.isRemoved(entry.vm()) || (suspicionElapsed && this.relays.allLeaving(dataCentre));
 	}
 
 	private void read(List<VmRecord> records) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/ProbeReply.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/ProbeReply.java
@@ -3,9 +3,9 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Replies to a probe.
+ * Answers a {@link Probe}.
  *
- * @param id the prober's number
+ * @param id the number of the probe
  */
 record ProbeReply(long id) implements PeerMessage {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Receiver.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Receiver.java
@@ -8,7 +8,7 @@
 import org.bramleyscale.internal.peer.PeerNetwork;
 
 /**
- * Takes heartbeats and claims from peers.
+ * Handles heartbeats and claims received from peers.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -19,7 +19,7 @@
 
 	private final Claims claims;
 
-	private final DataCentreSilences silences;
+	private final DataCentreStatuses dataCentres;
 
 	private final TableExchange exchange;
 
@@ -27,22 +27,22 @@
 
 	private final PeerNetwork network;
 
-	private final DataCentre own;
+	private final DataCentre localDataCentre;
 
-	Receiver(MemberTable table, Claims claims, DataCentreSilences silences, TableExchange exchange,
-			FailureDetector detector, PeerNetwork network, DataCentre own) {
+	Receiver(MemberTable table, Claims claims, DataCentreStatuses dataCentres, TableExchange exchange,
+			FailureDetector detector, PeerNetwork network, DataCentre localDataCentre) {
 		this.table = table;
 		this.claims = claims;
-		this.silences = silences;
+		this.dataCentres = dataCentres;
 		this.exchange = exchange;
 		this.detector = detector;
 		this.network = network;
-		this.own = own;
-		network.listen(Heartbeat.class, this::heartbeat);
-		network.listen(Entries.class, this::entries);
+		this.localDataCentre = localDataCentre;
+		network.listen(Heartbeat.class, this::onHeartbeat);
+		network.listen(Entries.class, this::onEntries);
 	}
 
-	private void heartbeat(Incarnation from, Heartbeat heartbeat) {
+	private void onHeartbeat(Incarnation from, Heartbeat heartbeat) {
 		Optional<MemberEntry> known = this.table.get(from.vm());
 		if (known.isEmpty() || known.get().incarnation().start() < from.start()) {
 			this.network.send(from.vm(), new Wanted(List.of(from.vm())));
@@ -51,33 +51,33 @@
 		if (!known.get().incarnation().equals(from)) {
 			return;
 		}
-		heard(known.get());
+		recordContact(known.get());
 		this.claims
-			.take(new MemberEntry(known.get().identity(), heartbeat.version(), Health.ALIVE, heartbeat.leaving()));
+			.apply(new MemberEntry(known.get().identity(), heartbeat.version(), Health.ALIVE, heartbeat.leaving()));
 		if (heartbeat.digest() != this.table.digest()) {
-			this.exchange.differs(from.vm());
+			this.exchange.digestDiffers(from.vm());
 		}
-		if (isNear(known.get()) && heartbeat.silences() != this.silences.digest()) {
-			this.network.send(from.vm(), new Entries(List.of(), this.silences.claims()));
+		if (isLocal(known.get()) && heartbeat.dataCentresDigest() != this.dataCentres.digest()) {
+			this.network.send(from.vm(), new Entries(List.of(), this.dataCentres.claims()));
 		}
 	}
 
-	private void entries(Incarnation from, Entries message) {
-		message.members().forEach(this.claims::take);
+	private void onEntries(Incarnation from, Entries message) {
+		message.members().forEach(this.claims::apply);
 		Optional<MemberEntry> sender = this.table.get(from.vm());
-		sender.filter((entry) -> entry.incarnation().equals(from)).ifPresent(this::heard);
-		this.claims.takeSilences(message.silences());
+		sender.filter((entry) -> entry.incarnation().equals(from)).ifPresent(this::recordContact);
+		this.claims.applyDataCentreStatuses(message.dataCentres());
 	}
 
-	private void heard(MemberEntry entry) {
-		this.detector.heard(entry.vm());
-		if (!isNear(entry)) {
-			this.silences.heard(entry.identity().dataCentre());
+	private void recordContact(MemberEntry entry) {
+		this.detector.recordContact(entry.vm());
+		if (!isLocal(entry)) {
+			this.dataCentres.recordContact(entry.identity().dataCentre());
 		}
 	}
 
-	private boolean isNear(MemberEntry entry) {
-		return entry.identity().dataCentre().equals(this.own);
+	private boolean isLocal(MemberEntry entry) {
+		return entry.identity().dataCentre().equals(this.localDataCentre);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Relays.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Relays.java
@@ -17,19 +17,19 @@
 import org.bramleyscale.internal.address.RendezvousHash;
 
 /**
- * Which members speak for their data centre to the others.
+ * Determines which members represent their data centre to the others.
  *
  * <p>
- * The two that rank first among the largest VMs; alive ones before suspects, leaving ones
- * only where all leave. If nobody spoke for a data centre whose last daemon leaves,
- * nobody elsewhere would expect to hear it, and it would be listed as leaving for ever
- * after its end. Every daemon works it out from its own table, so a few may act as relays
- * at once while tables differ; that costs messages and nothing else. Confined to the
- * scheduler's thread.
+ * These are the two members that rank first among the largest VMs; alive members come
+ * before suspects, and leaving ones are chosen only where all are leaving. If a data
+ * centre whose last daemon leaves had no relay, no daemon elsewhere would expect its
+ * heartbeats, and it would be listed as leaving forever after its end. Every daemon
+ * computes the relays from its own table, so more than two may act as relays while tables
+ * differ; this costs only additional messages. Confined to the scheduler's thread.
  */
 final class Relays {
 
-	/** How many relays a data centre has. */
+	/** The number of relays of a data centre. */
 	static final int RELAYS = 2;
 
 	private static final String KEY = "relay";
@@ -38,7 +38,7 @@
 
 	private final VmId self;
 
-	private final DataCentre own;
+	private final DataCentre localDataCentre;
 
 	private final RendezvousHash<VmId> hash = new RendezvousHash<>(VmId::value);
 
@@ -48,18 +48,18 @@
 
 	private long computedFor = -1;
 
-	Relays(MemberTable table, VmId self, DataCentre own) {
+	Relays(MemberTable table, VmId self, DataCentre localDataCentre) {
 		this.table = table;
 		this.self = self;
-		this.own = own;
+		this.localDataCentre = localDataCentre;
 	}
 
 	/**
 	 * Whether this daemon is a relay.
-	 * @return true if it ranks among the first of its data centre
+	 * @return true if it is among the relays of its data centre
 	 */
 	boolean isRelay() {
-		return of(this.own).contains(this.self);
+		return of(this.localDataCentre).contains(this.self);
 	}
 
 	/**
@@ -80,7 +80,7 @@
 		refresh();
 		Set<VmId> result = new TreeSet<>(Comparator.comparing(VmId::value));
 		this.relays.forEach((dataCentre, vms) -> {
-			if (!dataCentre.equals(this.own)) {
+			if (!dataCentre.equals(this.localDataCentre)) {
 				result.addAll(vms);
 			}
 		});
@@ -88,18 +88,18 @@
 	}
 
 	/**
-	 * The other data centres in which a member is known.
+	 * The other data centres that have a known member.
 	 * @return the data centres
 	 */
 	Set<DataCentre> otherDataCentres() {
 		refresh();
 		Set<DataCentre> result = new HashSet<>(this.relays.keySet());
-		result.remove(this.own);
+		result.remove(this.localDataCentre);
 		return result;
 	}
 
 	/**
-	 * Whether every daemon of a data centre leaves.
+	 * Whether every daemon of a data centre is leaving.
 	 * @param dataCentre the data centre
 	 * @return true if members of it are known and all of them are leaving
 	 */
@@ -131,24 +131,24 @@
 		this.relays.clear();
 		Set<DataCentre> all = new HashSet<>(alive.keySet());
 		all.addAll(suspect.keySet());
-		leaving.forEach((dataCentre, entries) -> this.relays.put(dataCentre, first(entries, RELAYS)));
+		leaving.forEach((dataCentre, entries) -> this.relays.put(dataCentre, highestRanked(entries, RELAYS)));
 		for (DataCentre dataCentre : all) {
-			List<VmId> chosen = new ArrayList<>(first(alive.getOrDefault(dataCentre, List.of()), RELAYS));
-			chosen.addAll(first(suspect.getOrDefault(dataCentre, List.of()), RELAYS - chosen.size()));
+			List<VmId> chosen = new ArrayList<>(highestRanked(alive.getOrDefault(dataCentre, List.of()), RELAYS));
+			chosen.addAll(highestRanked(suspect.getOrDefault(dataCentre, List.of()), RELAYS - chosen.size()));
 			this.relays.put(dataCentre, List.copyOf(chosen));
 		}
 	}
 
 	/**
-	 * The members that rank first. A relay sends what a whole data centre has to know: on
-	 * a fleet of 91 VMs one with 0.36 of a core and 14 Mbit/s sent 12.5 Mbit/s all day,
-	 * and configurations came into force 6.6 s after they were accepted. So a VM of a
-	 * smaller class isn't taken while one of a larger is left.
+	 * Returns the members that rank first. A relay sends all updates that a whole data
+	 * centre needs: on a fleet of 91 VMs a VM with 0.36 of a core and 14 Mbit/s sent 12.5
+	 * Mbit/s all day, and configurations came into force 6.6 s after they were accepted.
+	 * So a VM of a smaller size class is chosen only if none of a larger class is left.
 	 * @param entries the members
-	 * @param count how many to return at most
-	 * @return their VMs, the first at the front
+	 * @param count the maximum number of members to return
+	 * @return their VMs, highest-ranked first
 	 */
-	private List<VmId> first(List<MemberEntry> entries, int count) {
+	private List<VmId> highestRanked(List<MemberEntry> entries, int count) {
 		SortedMap<Integer, List<VmId>> bySize = new TreeMap<>(Collections.reverseOrder());
 		entries.forEach(
 				(entry) -> bySize.computeIfAbsent(entry.identity().capacity().sizeClass(), (size) -> new ArrayList<>())
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Summaries.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Summaries.java
@@ -6,11 +6,11 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * The second step of comparing tables: what the sender holds of one data centre whose
+ * The second step of a table exchange: the sender's entries of one data centre whose
  * digests differ.
  *
  * @param dataCentre the data centre
- * @param members all entries of it, in brief
+ * @param members summaries of all its entries
  */
 record Summaries(DataCentre dataCentre, List<MemberSummary> members) implements PeerMessage {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/TableExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/TableExchange.java
@@ -17,13 +17,14 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Finds and sends only what two tables hold differently.
+ * Reconciles the member tables of two daemons by exchanging only the entries that differ
+ * (anti-entropy).
  *
  * <p>
- * Claims are pushed when they arise, but a push may be lost or miss a daemon that was cut
- * off. That shows as heartbeats whose digests differ for longer than pushes take; the
- * digests of each data centre and then the summaries of those that differ lead to the
- * entries. Confined to the scheduler's thread.
+ * Claims are gossiped when they arise, but a message may be lost, or a partitioned daemon
+ * may not receive it. Heartbeats then show digests that differ for longer than gossip
+ * takes; the digests of each data centre, and then the summaries of those that differ,
+ * identify the entries to send. Confined to the scheduler's thread.
  */
 final class TableExchange {
 
@@ -49,7 +50,7 @@
 		this.clock = clock;
 		this.times = times;
 		this.exchanges = metrics.counter("membership.exchanges");
-		this.lastExchange = clock.nanos() - times.exchange().toNanos();
+		this.lastExchange = clock.nanos() - times.exchangeInterval().toNanos();
 		this.lastComparison = this.lastExchange;
 		network.listen(Digests.class, (from, message) -> compare(from.vm(), message));
 		network.listen(Summaries.class, (from, message) -> reconcile(from.vm(), message));
@@ -57,14 +58,14 @@
 	}
 
 	/**
-	 * Notes that a peer's digest differs from this table's.
+	 * Handles a heartbeat whose digest differs from this table's.
 	 * @param peer the peer
 	 */
-	void differs(VmId peer) {
+	void digestDiffers(VmId peer) {
 		long now = this.clock.nanos();
-		boolean settled = now - this.table.changedAt() > this.times.settle().toNanos()
-				|| now - this.lastExchange > this.times.longestUnsettled().toNanos();
-		if (settled && now - this.lastExchange >= this.times.exchange().toNanos()) {
+		boolean settled = now - this.table.changedAt() > this.times.settleTime().toNanos()
+				|| now - this.lastExchange > this.times.maxExchangeDelay().toNanos();
+		if (settled && now - this.lastExchange >= this.times.exchangeInterval().toNanos()) {
 			this.lastExchange = now;
 			this.exchanges.inc();
 			this.network.send(peer, new Digests(Map.copyOf(this.table.digests())));
@@ -78,66 +79,66 @@
 	}
 
 	/**
-	 * Compares digests, those of one peer at a time. Several peers offer themselves to a
-	 * daemon that has just started, and each would send it the whole table.
+	 * Compares digests, for one peer at a time. A daemon that has just started receives
+	 * digests from several peers, and each of them would send it the whole table.
 	 * @param peer the peer
-	 * @param theirs its digests
+	 * @param remote its digests
 	 */
-	private void compare(VmId peer, Digests theirs) {
+	private void compare(VmId peer, Digests remote) {
 		long now = this.clock.nanos();
-		if (now - this.lastComparison < this.times.exchange().toNanos()) {
+		if (now - this.lastComparison < this.times.exchangeInterval().toNanos()) {
 			return;
 		}
 		this.lastComparison = now;
-		Set<DataCentre> all = new HashSet<>(theirs.byDataCentre().keySet());
+		Set<DataCentre> all = new HashSet<>(remote.byDataCentre().keySet());
 		all.addAll(this.table.digests().keySet());
 		for (DataCentre dataCentre : all) {
-			Long own = this.table.digests().get(dataCentre);
-			if (own == null || !own.equals(theirs.byDataCentre().get(dataCentre))) {
+			Long local = this.table.digests().get(dataCentre);
+			if (local == null || !local.equals(remote.byDataCentre().get(dataCentre))) {
 				List<MemberSummary> summaries = inDataCentre(dataCentre).stream().map(MemberSummary::of).toList();
 				this.network.send(peer, new Summaries(dataCentre, summaries));
 			}
 		}
 	}
 
-	private void reconcile(VmId peer, Summaries theirs) {
+	private void reconcile(VmId peer, Summaries remote) {
 		Map<VmId, MemberSummary> byVm = new HashMap<>();
-		theirs.members().forEach((summary) -> byVm.put(summary.vm(), summary));
+		remote.members().forEach((summary) -> byVm.put(summary.vm(), summary));
 		List<MemberEntry> newer = new ArrayList<>();
-		for (MemberEntry own : inDataCentre(theirs.dataCentre())) {
-			MemberSummary other = byVm.get(own.vm());
-			boolean missed = other == null && own.health() != Health.DEAD;
-			if (missed || (other != null && adds(MemberSummary.of(own), other))) {
-				newer.add(own);
+		for (MemberEntry local : inDataCentre(remote.dataCentre())) {
+			MemberSummary current = byVm.get(local.vm());
+			boolean missing = current == null && local.health() != Health.DEAD;
+			if (missing || (current != null && supersedes(MemberSummary.of(local), current))) {
+				newer.add(local);
 			}
 		}
 		send(peer, newer);
-		List<VmId> wanted = theirs.members().stream().filter(this::wants).map(MemberSummary::vm).toList();
+		List<VmId> wanted = remote.members().stream().filter(this::isOutdatedBy).map(MemberSummary::vm).toList();
 		if (!wanted.isEmpty()) {
 			this.network.send(peer, new Wanted(wanted));
 		}
 	}
 
-	private boolean wants(MemberSummary theirs) {
-		Optional<MemberEntry> own = this.table.get(theirs.vm());
-		return own.map((entry) -> adds(theirs, MemberSummary.of(entry))).orElse(theirs.health() != Health.DEAD);
+	private boolean isOutdatedBy(MemberSummary remote) {
+		Optional<MemberEntry> local = this.table.get(remote.vm());
+		return local.map((entry) -> supersedes(remote, MemberSummary.of(entry))).orElse(remote.health() != Health.DEAD);
 	}
 
 	/**
 	 * Whether merging one summary into another would change the other.
-	 * @param one the summary that might add something
-	 * @param other the summary merged into
-	 * @return true if it adds something
+	 * @param candidate the summary to merge
+	 * @param current the summary merged into
+	 * @return true if the merge would change it
 	 */
-	private static boolean adds(MemberSummary one, MemberSummary other) {
-		if (one.start() != other.start()) {
-			return one.start() > other.start();
+	private static boolean supersedes(MemberSummary candidate, MemberSummary current) {
+		if (candidate.start() != current.start()) {
+			return candidate.start() > current.start();
 		}
-		if (one.leaving() && !other.leaving()) {
+		if (candidate.leaving() && !current.leaving()) {
 			return true;
 		}
-		return (one.version() != other.version()) ? one.version() > other.version()
-				: one.health().compareTo(other.health()) > 0;
+		return (candidate.version() != current.version()) ? candidate.version() > current.version()
+				: candidate.health().compareTo(current.health()) > 0;
 	}
 
 	private List<MemberEntry> inDataCentre(DataCentre dataCentre) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Topology.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Topology.java
@@ -14,21 +14,21 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * With whom this daemon keeps connections.
+ * Determines the peers to which this daemon keeps connections.
  *
  * <p>
- * With all members of a small data centre, with the neighbours in a large one, and, as a
- * relay, with the relays of the others. Relays also dial listed VMs that haven't been met
- * or are held to be dead, since nobody else would find out that they work. Confined to
- * the scheduler's thread.
+ * These are all members of a small data centre, the neighbours in a large one and, if
+ * this daemon is a relay, the relays of the other data centres. Relays also dial listed
+ * VMs that are not yet members or are considered dead, since no other daemon would
+ * discover that they work. Confined to the scheduler's thread.
  */
 final class Topology implements PeerDirectory {
 
 	private static final Comparator<VmId> BY_NAME = Comparator.comparing(VmId::value);
 
-	private static final int MOST_UNMET = 8;
+	private static final int MAX_DIAL_CANDIDATES = 8;
 
-	private static final long TURN_NANOS = 10_000_000_000L;
+	private static final long ROTATION_NANOS = 10_000_000_000L;
 
 	private final MemberTable table;
 
@@ -38,7 +38,7 @@
 
 	private final VmId self;
 
-	private final DataCentre own;
+	private final DataCentre localDataCentre;
 
 	private final int meshLimit;
 
@@ -55,7 +55,7 @@
 		this.relays = relays;
 		this.list = list;
 		this.self = settings.identity().incarnation().vm();
-		this.own = settings.identity().dataCentre();
+		this.localDataCentre = settings.identity().dataCentre();
 		this.meshLimit = settings.meshLimit();
 		this.clock = clock;
 	}
@@ -64,7 +64,7 @@
 		if (this.computedFor != this.table.changes()) {
 			this.computedFor = this.table.changes();
 			this.neighbours = Neighbours.of(this.self,
-					this.table.present(this.own).stream().map(MemberEntry::vm).toList());
+					this.table.present(this.localDataCentre).stream().map(MemberEntry::vm).toList());
 		}
 		return this.neighbours;
 	}
@@ -72,7 +72,7 @@
 	@Override
 	public Set<VmId> wanted() {
 		Set<VmId> wanted = new TreeSet<>(BY_NAME);
-		List<MemberEntry> present = this.table.present(this.own);
+		List<MemberEntry> present = this.table.present(this.localDataCentre);
 		if (present.size() <= this.meshLimit) {
 			present.forEach((entry) -> wanted.add(entry.vm()));
 		}
@@ -82,7 +82,7 @@
 		}
 		if (this.relays.isRelay()) {
 			wanted.addAll(this.relays.remote());
-			wanted.addAll(strangers());
+			wanted.addAll(dialCandidates());
 		}
 		wanted.remove(this.self);
 		return wanted;
@@ -96,34 +96,34 @@
 	}
 
 	/**
-	 * The VMs that a relay should dial though they aren't present members.
-	 * @return a few listed VMs of the own data centre not met or held to be dead, and of
-	 * each data centre in which nobody is present
+	 * Returns the VMs that a relay should dial although they aren't present members.
+	 * @return a few listed VMs of the local data centre that are unknown or considered
+	 * dead, and a few of each data centre without present members
 	 */
-	Set<VmId> strangers() {
-		Set<VmId> strangers = new TreeSet<>(BY_NAME);
-		List<VmId> unmet = this.list.in(this.own).stream().filter((vm) -> !present(vm)).toList();
-		strangers.addAll(this.hash.first(turn(), unmet, MOST_UNMET));
+	Set<VmId> dialCandidates() {
+		Set<VmId> candidates = new TreeSet<>(BY_NAME);
+		List<VmId> absent = this.list.vmsIn(this.localDataCentre).stream().filter((vm) -> !isPresent(vm)).toList();
+		candidates.addAll(this.hash.first(rotationKey(), absent, MAX_DIAL_CANDIDATES));
 		for (DataCentre other : this.list.dataCentres()) {
-			if (!other.equals(this.own) && this.relays.of(other).isEmpty()) {
-				strangers.addAll(this.hash.first(turn(), this.list.in(other), Relays.RELAYS));
+			if (!other.equals(this.localDataCentre) && this.relays.of(other).isEmpty()) {
+				candidates.addAll(this.hash.first(rotationKey(), this.list.vmsIn(other), Relays.RELAYS));
 			}
 		}
-		strangers.remove(this.self);
-		return strangers;
+		candidates.remove(this.self);
+		return candidates;
 	}
 
 	/**
-	 * A key that ranks the same VMs in another order every few seconds. A daemon that
-	 * starts in a large data centre knows nobody; it shouldn't dial everybody, nor the
-	 * same few for ever if these happen to be down.
+	 * Returns a key that changes the ranking of VMs every few seconds. A daemon that
+	 * starts in a large data centre knows no members; it should neither dial all VMs nor
+	 * retry the same few forever if these are down.
 	 * @return the key
 	 */
-	private String turn() {
-		return this.self.value() + this.clock.nanos() / TURN_NANOS;
+	private String rotationKey() {
+		return this.self.value() + this.clock.nanos() / ROTATION_NANOS;
 	}
 
-	private boolean present(VmId vm) {
+	private boolean isPresent(VmId vm) {
 		return this.table.get(vm).filter((entry) -> entry.health() != Health.DEAD).isPresent();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/ViewCache.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/ViewCache.java
@@ -9,21 +9,21 @@
 import org.bramleyscale.VmId;
 
 /**
- * The members as other slices see them, worked out once per change.
+ * Caches the members as the other packages see them, computed once per change.
  *
  * <p>
- * Invariant: listeners are called only after what they read has changed. Confined to the
- * scheduler's thread.
+ * Invariant: listeners are called only after the view that they read has changed.
+ * Confined to the scheduler's thread.
  */
 final class ViewCache implements MemberHistory {
 
 	private final MemberTable table;
 
-	private final DataCentreSilences silences;
+	private final DataCentreStatuses dataCentres;
 
-	private final DataCentre own;
+	private final DataCentre localDataCentre;
 
-	private final Duration unheard;
+	private final Duration detectionDelay;
 
 	private final List<Runnable> listeners = new ArrayList<>();
 
@@ -34,17 +34,18 @@
 	private boolean stale = true;
 
 	/**
-	 * Makes the view.
+	 * Creates an instance.
 	 * @param table the members
-	 * @param silences the silent data centres
-	 * @param own the own data centre
-	 * @param unheard how long somebody isn't heard before being suspected
+	 * @param dataCentres the claims about other data centres
+	 * @param localDataCentre the data centre of this daemon
+	 * @param detectionDelay for how long heartbeats are missing before a member is
+	 * suspected
 	 */
-	ViewCache(MemberTable table, DataCentreSilences silences, DataCentre own, Duration unheard) {
+	ViewCache(MemberTable table, DataCentreStatuses dataCentres, DataCentre localDataCentre, Duration detectionDelay) {
 		this.table = table;
-		this.silences = silences;
-		this.own = own;
-		this.unheard = unheard;
+		this.dataCentres = dataCentres;
+		this.localDataCentre = localDataCentre;
+		this.detectionDelay = detectionDelay;
 	}
 
 	void onChange(Runnable listener) {
@@ -77,14 +78,14 @@
 
 	@Override
 	public Duration silence(VmId vm) {
-		Duration own = this.table.silence(vm);
-		Duration ofDataCentre = this.table.get(vm)
+		Duration memberTime = this.table.unresponsiveFor(vm);
+		Duration dataCentreTime = this.table.get(vm)
 			.map((entry) -> entry.identity().dataCentre())
-			.filter((dataCentre) -> !dataCentre.equals(this.own))
-			.map(this.silences::silence)
+			.filter((dataCentre) -> !dataCentre.equals(this.localDataCentre))
+			.map(this.dataCentres::unresponsiveFor)
 			.orElse(Duration.ZERO);
-		Duration longer = (own.compareTo(ofDataCentre) >= 0) ? own : ofDataCentre;
-		return longer.isZero() ? longer : longer.plus(this.unheard);
+		Duration longer = (memberTime.compareTo(dataCentreTime) >= 0) ? memberTime : dataCentreTime;
+		return longer.isZero() ? longer : longer.plus(this.detectionDelay);
 	}
 
 	private void refresh() {
@@ -110,8 +111,10 @@
 			return Member.State.LEAVING;
 		}
 		DataCentre dataCentre = entry.identity().dataCentre();
-		boolean farAndSilent = !dataCentre.equals(this.own) && this.silences.silent(dataCentre);
-		return (entry.health() == Health.SUSPECT || farAndSilent) ? Member.State.SUSPECT : Member.State.ALIVE;
+		boolean inUnresponsiveDataCentre = !dataCentre.equals(this.localDataCentre)
+				&& this.dataCentres.isUnresponsive(dataCentre);
+		return (entry.health() == Health.SUSPECT || inUnresponsiveDataCentre) ? Member.State.SUSPECT
+				: Member.State.ALIVE;
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Wanted.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Wanted.java
@@ -6,7 +6,7 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Asks for entries.
+ * Requests entries.
  *
  * @param vms the VMs whose entries the sender lacks or holds in an older version
  */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which daemons exist and answer.
+ * Membership of the fleet: which daemons exist and whether they are responsive.
  */
 package org.bramleyscale.internal.membership;
