--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/Fleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/Fleet.java
@@ -27,7 +27,8 @@
 import org.bramleyscale.internal.time.PausableScheduler;
 
 /**
- * The memberships of several daemons on one manual clock, with the platform's list.
+ * Membership services of several daemons that share a manual clock and the platform's
+ * list of VMs.
  */
 final class Fleet {
 
@@ -42,14 +43,14 @@
 
 	final Map<String, Daemon> daemons = new LinkedHashMap<>();
 
-	boolean platformDown;
+	boolean platformUnavailable;
 
 	int polls;
 
 	private long starts;
 
 	/**
-	 * Starts daemons named after their data centre and lists their VMs.
+	 * Starts daemons named after their data centre, with their VMs in the list.
 	 */
 	static Fleet of(int perDataCentre, String... dataCentres) {
 		Fleet fleet = new Fleet();
@@ -84,28 +85,28 @@
 	}
 
 	/**
-	 * Stops a process without ending it.
+	 * Pauses a process without ending it.
 	 */
-	void freeze(String vm) {
+	void pause(String vm) {
 		daemon(vm).scheduler.pause();
 		this.hub.pause(new VmId(vm));
 	}
 
 	/**
-	 * Lets a process go on; it runs its timers before it reads its sockets.
+	 * Resumes a paused process, which runs its timers before it reads its sockets.
 	 */
-	void thaw(String vm) {
+	void resume(String vm) {
 		daemon(vm).scheduler.resume();
 		this.hub.resume(new VmId(vm));
 	}
 
 	/**
-	 * Does something to each pair of two groups.
+	 * Applies an action to each pair of VMs of two groups.
 	 */
-	void between(Collection<String> left, Collection<String> right, BiConsumer<VmId, VmId> action) {
-		for (String one : left) {
-			for (String other : right) {
-				action.accept(new VmId(one), new VmId(other));
+	void forEachPair(Collection<String> left, Collection<String> right, BiConsumer<VmId, VmId> action) {
+		for (String leftVm : left) {
+			for (String rightVm : right) {
+				action.accept(new VmId(leftVm), new VmId(rightVm));
 			}
 		}
 	}
@@ -115,14 +116,14 @@
 	}
 
 	/**
-	 * The states in which the running daemons, but for the VM's own, see a VM; a daemon
-	 * that doesn't know the VM counts as null.
+	 * The states of a VM as seen by all running daemons except its own; null for a daemon
+	 * that doesn't know the VM.
 	 */
-	Set<Member.State> seen(String vm) {
-		return seenBy(this.daemons.keySet(), vm);
+	Set<Member.State> statesOf(String vm) {
+		return statesSeenBy(this.daemons.keySet(), vm);
 	}
 
-	Set<Member.State> seenBy(Collection<String> observers, String vm) {
+	Set<Member.State> statesSeenBy(Collection<String> observers, String vm) {
 		Set<Member.State> states = new HashSet<>();
 		for (String observer : observers) {
 			if (!observer.equals(vm)) {
@@ -133,7 +134,7 @@
 	}
 
 	/**
-	 * All states in which any running daemon sees any.
+	 * All states of all members as seen by all running daemons.
 	 */
 	Set<Member.State> allStates() {
 		Set<Member.State> states = new HashSet<>();
@@ -153,21 +154,21 @@
 
 	private CompletableFuture<List<VmRecord>> read() {
 		this.polls++;
-		CompletableFuture<List<VmRecord>> reading = new CompletableFuture<>();
-		List<VmRecord> now = new ArrayList<>(this.list.values());
+		CompletableFuture<List<VmRecord>> result = new CompletableFuture<>();
+		List<VmRecord> listed = new ArrayList<>(this.list.values());
 		this.scheduler.schedule(Duration.ofMillis(5), () -> {
-			if (this.platformDown) {
-				reading.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "down"));
+			if (this.platformUnavailable) {
+				result.completeExceptionally(new PlatformException(PlatformException.Kind.UNAVAILABLE, "down"));
 			}
 			else {
-				reading.complete(now);
+				result.complete(listed);
 			}
 		});
-		return reading;
+		return result;
 	}
 
 	/**
-	 * One daemon.
+	 * A daemon of the fleet.
 	 */
 	final class Daemon {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/ListOnlyStore.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/ListOnlyStore.java
@@ -8,7 +8,7 @@
 import org.bramleyscale.internal.platform.VmRecord;
 
 /**
- * A platform that offers its list of VMs and nothing else.
+ * An object store that supports only reading the list of VMs.
  */
 final class ListOnlyStore implements PartialStore {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/MemberEntryTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/MemberEntryTests.java
@@ -13,8 +13,8 @@
 import org.bramleyscale.internal.peer.PeerIdentity;
 
 /**
- * Daemons agree because of these laws: claims may come in any order and any number of
- * times.
+ * Tests the laws on which the agreement of daemons rests: claims may arrive in any order
+ * and any number of times.
  */
 class MemberEntryTests {
 
@@ -35,7 +35,7 @@
 	}
 
 	@Property(seed = "4")
-	void aLeavingMarkOfAnIncarnationNeverGoesAway(@ForAll("entries") MemberEntry a, @ForAll("entries") MemberEntry b) {
+	void leavingMarkOfAnIncarnationIsNeverRemoved(@ForAll("entries") MemberEntry a, @ForAll("entries") MemberEntry b) {
 		MemberEntry merged = a.merge(b);
 		for (MemberEntry claim : new MemberEntry[] { a, b }) {
 			if (claim.leaving() && claim.incarnation().equals(merged.incarnation())) {
@@ -45,7 +45,7 @@
 	}
 
 	@Property(seed = "5")
-	void aRefutationWinsOverWhatItRefutes(@ForAll("entries") MemberEntry own, @ForAll("entries") MemberEntry claim) {
+	void refutationWinsOverTheRefutedClaim(@ForAll("entries") MemberEntry own, @ForAll("entries") MemberEntry claim) {
 		if (own.incarnation().equals(claim.incarnation())) {
 			MemberEntry merged = own.refuting(claim).merge(claim);
 			Truth.assertThat(merged.health()).isEqualTo(Health.ALIVE);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/MembershipOverTcpTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/MembershipOverTcpTests.java
@@ -33,8 +33,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Membership over real connections. Each wait ends with a change of a view; the timeout
- * only ends a test that would otherwise hang.
+ * Tests membership over real connections. Each wait ends with a change of a view; the
+ * timeout only ends a test that would otherwise hang.
  */
 @Timeout(60)
 class MembershipOverTcpTests {
@@ -57,7 +57,7 @@
 	}
 
 	@Test
-	void daemonsMeetLeaveAndGoMissing() throws Exception {
+	void daemonsJoinLeaveAndFail() throws Exception {
 		for (String vm : List.of("rawang-0", "rawang-1", "rawang-2", "semenyih-0", "semenyih-1")) {
 			this.daemons.add(new Daemon(vm));
 		}
@@ -121,15 +121,15 @@
 		}
 
 		private void await(Predicate<MembershipView> condition) throws Exception {
-			CompletableFuture<Void> met = new CompletableFuture<>();
+			CompletableFuture<Void> satisfied = new CompletableFuture<>();
 			Runnable check = () -> {
 				if (condition.test(this.membership)) {
-					met.complete(null);
+					satisfied.complete(null);
 				}
 			};
 			this.loop.execute(() -> this.membership.onChange(check));
 			this.loop.execute(check);
-			met.get();
+			satisfied.get();
 		}
 
 		private <T> T call(Supplier<T> task) throws Exception {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/MembershipServiceTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/MembershipServiceTests.java
@@ -14,11 +14,11 @@
 
 class MembershipServiceTests {
 
-	private static final String[] THREE = { "rawang", "semenyih", "shah-alam" };
+	private static final String[] DATA_CENTRES = { "rawang", "semenyih", "shah-alam" };
 
 	@Test
-	void allMeetAll() {
-		Fleet fleet = Fleet.of(3, THREE);
+	void allDaemonsDiscoverEachOther() {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
 		for (Fleet.Daemon daemon : fleet.daemons.values()) {
 			Truth.assertThat(daemon.membership.members()).hasSize(9);
 			Truth.assertThat(daemon.membership.eligible()).hasSize(9);
@@ -27,99 +27,100 @@
 	}
 
 	@Test
-	void aListedVmIsNoMemberUntilItsDaemonSpeaks() {
-		Fleet fleet = Fleet.of(3, THREE);
+	void listedVmIsNotAMemberBeforeItsDaemonSendsAMessage() {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
 		fleet.list("rawang-3", false);
 		fleet.advance(Duration.ofSeconds(30));
-		Truth.assertThat(fleet.seen("rawang-3")).containsExactly((State) null);
+		Truth.assertThat(fleet.statesOf("rawang-3")).containsExactly((State) null);
 		fleet.start("rawang-3");
 		fleet.advance(Duration.ofSeconds(5));
-		Truth.assertThat(fleet.seen("rawang-3")).containsExactly(State.ALIVE);
+		Truth.assertThat(fleet.statesOf("rawang-3")).containsExactly(State.ALIVE);
 	}
 
 	@Test
-	void aDaemonThatSpeaksIsAMemberBeforeItsVmIsListed() {
-		Fleet fleet = Fleet.of(3, THREE);
+	void daemonBecomesAMemberBeforeItsVmIsListed() {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
 		fleet.start("rawang-3");
 		fleet.advance(Duration.ofSeconds(5));
-		Truth.assertThat(fleet.seen("rawang-3")).containsExactly(State.ALIVE);
+		Truth.assertThat(fleet.statesOf("rawang-3")).containsExactly(State.ALIVE);
 		Truth.assertThat(fleet.daemon("rawang-3").membership.eligible()).hasSize(10);
 	}
 
 	/**
-	 * Symptom: callers keep being sent to a VM that is gone. Sequence: a daemon ends
-	 * without a word. Cause: nobody draws a verdict from its silence, or the verdict
-	 * doesn't reach all.
+	 * Guards against sending callers to a VM whose daemon ended without announcing it.
+	 * This occurs if its missing heartbeats don't lead to a declaration of death, or the
+	 * declaration doesn't reach all daemons.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "2, 3", "3, 3", "3, 1", "20, 1", "20, 3" })
-	void aKilledDaemonIsSuspectedAndThenDead(int perDataCentre, int dataCentres) {
-		Fleet fleet = Fleet.of(perDataCentre, List.of(THREE).subList(0, dataCentres).toArray(String[]::new));
+	void killedDaemonIsSuspectedAndThenDeclaredDead(int perDataCentre, int dataCentres) {
+		Fleet fleet = Fleet.of(perDataCentre, List.of(DATA_CENTRES).subList(0, dataCentres).toArray(String[]::new));
 		fleet.kill("rawang-1");
 		fleet.advance(Duration.ofSeconds(6));
-		Truth.assertThat(fleet.seen("rawang-1")).containsExactly(State.SUSPECT);
+		Truth.assertThat(fleet.statesOf("rawang-1")).containsExactly(State.SUSPECT);
 		fleet.advance(Duration.ofSeconds(9));
-		Truth.assertThat(fleet.seen("rawang-1")).containsExactly(State.DEAD);
+		Truth.assertThat(fleet.statesOf("rawang-1")).containsExactly(State.DEAD);
 		Truth.assertThat(fleet.daemon("rawang-0").membership.eligible()).hasSize(perDataCentre * dataCentres - 1);
 	}
 
 	/**
-	 * Symptom: a healthy daemon is taken out of use. Sequence: its VM is missing from the
-	 * platform's list, which is late or wrong. Cause: a verdict from the list alone.
+	 * Guards against taking a healthy daemon out of use because its VM is missing from
+	 * the platform's list, which may be late or wrong.
 	 */
 	@Test
-	void theListAloneDeclaresNobodyDead() {
-		Fleet fleet = Fleet.of(3, THREE);
+	void absenceFromThePlatformListAloneDeclaresNoDaemonDead() {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
 		fleet.list.clear();
 		fleet.advance(Duration.ofMinutes(3));
 		Truth.assertThat(fleet.allStates()).containsExactly(State.ALIVE);
 	}
 
 	@Test
-	void anOutageOfThePlatformChangesNothing() {
-		Fleet fleet = Fleet.of(3, THREE);
-		fleet.platformDown = true;
+	void platformOutageDoesNotChangeMemberStates() {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
+		fleet.platformUnavailable = true;
 		fleet.advance(Duration.ofMinutes(3));
 		Truth.assertThat(fleet.allStates()).containsExactly(State.ALIVE);
 	}
 
 	/**
-	 * Symptom: after a pause of one process either it or its peers stay out of use.
-	 * Sequence: a process stands still past its verdict and goes on, running its timers
-	 * before it reads its sockets. Cause: its own pause taken for the others' silence, or
-	 * a verdict that can't be refuted.
+	 * Guards against a paused process or its peers staying out of use after it resumes.
+	 * The process is paused until after it has been suspected or declared dead, and then
+	 * runs its timers before it reads its sockets. The failure occurs if it takes its own
+	 * pause for unresponsiveness of the others, or if a declaration of death can't be
+	 * refuted.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 5, 12, 60 })
-	void aFrozenDaemonComesBackAndBlamesNobody(int seconds) {
-		Fleet fleet = Fleet.of(3, THREE);
-		fleet.freeze("rawang-1");
+	void resumedDaemonBecomesAliveAndSuspectsNoOther(int seconds) {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
+		fleet.pause("rawang-1");
 		fleet.advance(Duration.ofSeconds(seconds));
-		Truth.assertThat(fleet.seen("rawang-1")).doesNotContain(State.ALIVE);
-		long verdicts = fleet.count("membership.suspected") + fleet.count("membership.declared-dead");
-		fleet.thaw("rawang-1");
+		Truth.assertThat(fleet.statesOf("rawang-1")).doesNotContain(State.ALIVE);
+		long declarations = fleet.count("membership.suspected") + fleet.count("membership.declared-dead");
+		fleet.resume("rawang-1");
 		fleet.advance(Duration.ofSeconds(10));
 		Truth.assertThat(fleet.allStates()).containsExactly(State.ALIVE);
 		Truth.assertThat(fleet.count("membership.suspected") + fleet.count("membership.declared-dead"))
-			.isEqualTo(verdicts);
+			.isEqualTo(declarations);
 	}
 
 	/**
-	 * Symptom: after a short pause a daemon suspects a healthy one. Sequence: its sockets
-	 * aren't read for a while, it asks others about a member, then it stands still until
-	 * the time for answers is over, and goes on. Cause: answers that lie unread taken for
-	 * missing ones.
+	 * Guards against suspecting a healthy daemon after a short pause. The sockets of a
+	 * daemon aren't read for a while; it starts an inquiry about a member, is paused
+	 * until the time-out of the inquiry has elapsed, and resumes. The failure occurs if
+	 * answers that are waiting unread are taken for missing ones.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 2_750, 3_000, 3_250, 3_500, 3_750, 4_000, 4_250, 4_500 })
-	void aPauseWhileOthersAreAskedBlamesNobody(int millis) {
+	void pauseDuringAnInquirySuspectsNoDaemon(int millis) {
 		Fleet fleet = Fleet.of(3, "rawang");
 		fleet.hub.pause(new VmId("rawang-1"));
 		fleet.advance(Duration.ofMillis(millis));
 		fleet.daemon("rawang-1").scheduler.pause();
 		long suspected = fleet.daemon("rawang-1").metrics.counter("membership.suspected").getCount();
 		fleet.advance(Duration.ofSeconds(10));
-		fleet.thaw("rawang-1");
+		fleet.resume("rawang-1");
 		fleet.advance(Duration.ofSeconds(10));
 		Truth.assertThat(fleet.daemon("rawang-1").metrics.counter("membership.suspected").getCount())
 			.isEqualTo(suspected);
@@ -127,29 +128,30 @@
 	}
 
 	/**
-	 * Symptom: after a pause of a relay its data centre avoids all others for a moment.
-	 * Sequence: the relay stands still and runs its timers before it reads its sockets.
-	 * Cause: its own pause taken for the silence of the other data centres.
+	 * Guards against a data centre briefly avoiding all others after a pause of one of
+	 * its relays. The relay resumes and runs its timers before it reads its sockets. The
+	 * failure occurs if it takes its own pause for unresponsiveness of the other data
+	 * centres.
 	 */
 	@ParameterizedTest
 	@ValueSource(strings = { "rawang-0", "rawang-1" })
-	void aRelaysPauseIsNotTakenForTheSilenceOfOthers(String vm) {
-		Fleet fleet = Fleet.of(2, THREE);
-		List<State> seen = watch(fleet, vm, "semenyih-1");
-		fleet.freeze(vm);
+	void pausedRelayDoesNotMarkOtherDataCentresUnresponsive(String vm) {
+		Fleet fleet = Fleet.of(2, DATA_CENTRES);
+		List<State> states = recordStates(fleet, vm, "semenyih-1");
+		fleet.pause(vm);
 		fleet.advance(Duration.ofSeconds(30));
-		fleet.thaw(vm);
+		fleet.resume(vm);
 		fleet.advance(Duration.ofSeconds(10));
-		Truth.assertThat(seen).isEmpty();
+		Truth.assertThat(states).isEmpty();
 	}
 
 	/**
-	 * Symptom: a healthy daemon flaps between alive and suspect. Sequence: what it sends
-	 * to one other daemon is lost without an error. Cause: one daemon's silence taken for
-	 * everybody's.
+	 * Guards against a healthy daemon flapping between alive and suspect while its
+	 * messages to one other daemon are lost without an error. This occurs if one daemon's
+	 * observation is applied without asking others.
 	 */
 	@Test
-	void silenceInOneDirectionSuspectsNobody() {
+	void messageLossInOneDirectionSuspectsNoDaemon() {
 		Fleet fleet = Fleet.of(3, "rawang");
 		fleet.hub.silence(new VmId("rawang-0"), new VmId("rawang-1"));
 		fleet.advance(Duration.ofMinutes(2));
@@ -158,14 +160,14 @@
 	}
 
 	/**
-	 * Symptom: a restarted daemon gets nothing, or gets what was meant for the daemon
-	 * before it. Sequence: a daemon is killed and started again at once. Cause: claims
-	 * about the earlier start applied to the later one.
+	 * Guards against a restarted daemon receiving no work, or work meant for its
+	 * predecessor, when a daemon is killed and restarted at once. This occurs if claims
+	 * about the earlier start are applied to the later one.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 0, 4, 30 })
-	void aRestartedDaemonReplacesItsEarlierIncarnation(int secondsBetween) {
-		Fleet fleet = Fleet.of(3, THREE);
+	void restartedDaemonReplacesItsEarlierIncarnation(int secondsBetween) {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
 		fleet.kill("rawang-1");
 		fleet.advance(Duration.ofSeconds(secondsBetween));
 		Fleet.Daemon restarted = fleet.start("rawang-1");
@@ -178,251 +180,255 @@
 	}
 
 	/**
-	 * Symptom: a stopping daemon gets new work, or its successor on the same VM gets
-	 * none. Sequence: leave, end, start again. Cause: a mark that a later heartbeat
-	 * overwrites or that outlives its incarnation.
+	 * Guards against a leaving daemon receiving new work, and against its successor on
+	 * the same VM receiving none. This occurs if a later heartbeat overwrites the leaving
+	 * mark or the mark outlives its incarnation.
 	 */
 	@Test
-	void aLeavingMarkReachesAllAtOnceAndEndsWithItsIncarnation() {
-		Fleet fleet = Fleet.of(3, THREE);
+	void leavingMarkReachesAllAtOnceAndEndsWithItsIncarnation() {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
 		Fleet.Daemon leaver = fleet.daemon("rawang-1");
 		leaver.membership.leave();
 		fleet.advance(Duration.ofMillis(300));
-		Truth.assertThat(fleet.seen("rawang-1")).containsExactly(State.LEAVING);
+		Truth.assertThat(fleet.statesOf("rawang-1")).containsExactly(State.LEAVING);
 		Truth.assertThat(leaver.leaveCalls).isEqualTo(1);
 		Truth.assertThat(leaver.membership.eligible()).hasSize(8);
 		fleet.advance(Duration.ofMinutes(1));
-		Truth.assertThat(fleet.seen("rawang-1")).containsExactly(State.LEAVING);
+		Truth.assertThat(fleet.statesOf("rawang-1")).containsExactly(State.LEAVING);
 		fleet.kill("rawang-1");
 		fleet.advance(Duration.ofSeconds(20));
-		Truth.assertThat(fleet.seen("rawang-1")).containsExactly(State.DEAD);
+		Truth.assertThat(fleet.statesOf("rawang-1")).containsExactly(State.DEAD);
 		fleet.start("rawang-1");
 		fleet.advance(Duration.ofSeconds(5));
-		Truth.assertThat(fleet.seen("rawang-1")).containsExactly(State.ALIVE);
+		Truth.assertThat(fleet.statesOf("rawang-1")).containsExactly(State.ALIVE);
 	}
 
 	@Test
-	void theListsLeavingMarkReachesAllAndTheDaemonItself() {
-		Fleet fleet = Fleet.of(3, THREE);
+	void leavingMarkOfThePlatformListReachesAllAndTheDaemonItself() {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
 		fleet.list("rawang-1", true);
 		fleet.advance(Duration.ofSeconds(4));
-		Truth.assertThat(fleet.seen("rawang-1")).containsExactly(State.LEAVING);
+		Truth.assertThat(fleet.statesOf("rawang-1")).containsExactly(State.LEAVING);
 		Truth.assertThat(fleet.daemon("rawang-1").leaveCalls).isEqualTo(1);
 	}
 
 	/**
-	 * Symptom: a daemon started after a planned stop gets no work. Sequence: the list
-	 * still marks the VM as leaving when the new daemon speaks. Cause: a late mark taken
-	 * for a new one.
+	 * Guards against a daemon that starts after a planned stop receiving no work. The
+	 * list still marks the VM as leaving when the new daemon sends its first message; the
+	 * failure occurs if that late mark is taken for a new one.
 	 */
 	@Test
-	void aLateLeavingMarkDoesNotHitTheNextIncarnation() {
-		Fleet fleet = Fleet.of(3, THREE);
+	void lateLeavingMarkDoesNotApplyToTheNextIncarnation() {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
 		fleet.list("rawang-1", true);
 		fleet.advance(Duration.ofSeconds(4));
 		fleet.kill("rawang-1");
 		fleet.start("rawang-1");
 		fleet.advance(Duration.ofSeconds(20));
-		Truth.assertThat(fleet.seen("rawang-1")).containsExactly(State.ALIVE);
+		Truth.assertThat(fleet.statesOf("rawang-1")).containsExactly(State.ALIVE);
 		fleet.list("rawang-1", false);
 		fleet.advance(Duration.ofMinutes(1));
-		Truth.assertThat(fleet.seen("rawang-1")).containsExactly(State.ALIVE);
+		Truth.assertThat(fleet.statesOf("rawang-1")).containsExactly(State.ALIVE);
 	}
 
 	/**
-	 * Symptom: half of a data centre is out of use after a switch failed for a minute.
-	 * Sequence: two halves lose each other. Cause: each takes the other's silence for
-	 * death.
+	 * Guards against half of a data centre being out of use after a switch failed for a
+	 * minute. The data centre is partitioned into two halves; the failure occurs if each
+	 * half declares the other dead.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "20, 10, true", "20, 10, false", "68, 34, false", "4, 2, false" })
-	void twoHalvesOfADataCentreDeclareNobodyDead(int size, int half, boolean noticed) {
+	void partitionedHalvesOfADataCentreDeclareNoDaemonDead(int size, int half, boolean connectionsClosed) {
 		Fleet fleet = Fleet.of(size, "rawang");
 		List<String> all = new ArrayList<>(fleet.daemons.keySet());
-		split(fleet, all.subList(0, half), all.subList(half, size), noticed);
+		split(fleet, all.subList(0, half), all.subList(half, size), connectionsClosed);
 		fleet.advance(Duration.ofMinutes(1));
 		Truth.assertThat(fleet.allStates()).doesNotContain(State.DEAD);
-		Truth.assertThat(fleet.seenBy(all.subList(0, half), all.get(half))).containsExactly(State.SUSPECT);
-		fleet.between(all.subList(0, half), all.subList(half, size), fleet.hub::heal);
+		Truth.assertThat(fleet.statesSeenBy(all.subList(0, half), all.get(half))).containsExactly(State.SUSPECT);
+		fleet.forEachPair(all.subList(0, half), all.subList(half, size), fleet.hub::heal);
 		fleet.advance(Duration.ofSeconds(20));
 		Truth.assertThat(fleet.allStates()).containsExactly(State.ALIVE);
 	}
 
 	/**
-	 * Symptom: a few daemons that were cut off spread verdicts about all others.
-	 * Sequence: a rack loses its uplink and gets it back. Cause: verdicts drawn without
-	 * asking whether the own connections work.
+	 * Guards against a few partitioned daemons declaring all others dead and gossiping
+	 * that once they are reconnected, as when a rack loses its uplink and gets it back.
+	 * This occurs if a daemon declares others dead without checking whether its own
+	 * connections work.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "20, 1, true", "20, 4, true", "20, 4, false", "68, 6, true", "68, 1, true", "3, 1, true" })
-	void thoseCutOffDeclareNobodyDeadWhileTheRestDeclareThem(int size, int cutOff, boolean listed) {
+	void partitionedMinorityDeclaresNoDaemonDeadWhileTheMajorityDeclaresItDead(int size, int minoritySize,
+			boolean listed) {
 		Fleet fleet = Fleet.of(size, "rawang");
 		if (!listed) {
 			fleet.list.clear();
 		}
 		List<String> all = new ArrayList<>(fleet.daemons.keySet());
-		List<String> few = all.subList(0, cutOff);
-		List<String> most = all.subList(cutOff, size);
-		split(fleet, few, most, false);
+		List<String> minority = all.subList(0, minoritySize);
+		List<String> majority = all.subList(minoritySize, size);
+		split(fleet, minority, majority, false);
 		fleet.advance(Duration.ofMinutes(1));
-		for (String vm : most) {
-			Truth.assertThat(fleet.seenBy(few, vm)).doesNotContain(State.DEAD);
+		for (String vm : majority) {
+			Truth.assertThat(fleet.statesSeenBy(minority, vm)).doesNotContain(State.DEAD);
 		}
-		for (String vm : few) {
-			Truth.assertThat(fleet.seenBy(most, vm)).containsExactly(State.DEAD);
+		for (String vm : minority) {
+			Truth.assertThat(fleet.statesSeenBy(majority, vm)).containsExactly(State.DEAD);
 		}
-		fleet.between(few, most, fleet.hub::heal);
+		fleet.forEachPair(minority, majority, fleet.hub::heal);
 		fleet.advance(Duration.ofSeconds(30));
 		Truth.assertThat(fleet.allStates()).containsExactly(State.ALIVE);
 	}
 
 	/**
-	 * Symptom: when two regions have lost each other for minutes, daemons beyond stay
-	 * dead or are still preferred. Sequence: a data centre can't be heard from the
-	 * others, and is heard again. Cause: no notion of a whole data centre's silence.
+	 * Guards against the daemons of an unreachable data centre staying dead after it is
+	 * reachable again, or still being preferred while it isn't. This occurs if the
+	 * unresponsiveness of a whole data centre isn't tracked separately.
 	 */
 	@Test
-	void aDataCentreOutOfReachIsSuspectAndNeverDead() {
-		Fleet fleet = Fleet.of(3, THREE);
-		List<String> far = fleet.daemons.keySet().stream().filter((vm) -> vm.startsWith("rawang")).toList();
-		List<String> near = fleet.daemons.keySet().stream().filter((vm) -> !vm.startsWith("rawang")).toList();
-		split(fleet, far, near, false);
+	void unreachableDataCentreIsSuspectAndNeverDead() {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
+		List<String> isolated = fleet.daemons.keySet().stream().filter((vm) -> vm.startsWith("rawang")).toList();
+		List<String> connected = fleet.daemons.keySet().stream().filter((vm) -> !vm.startsWith("rawang")).toList();
+		split(fleet, isolated, connected, false);
 		fleet.advance(Duration.ofSeconds(10));
-		Truth.assertThat(fleet.seenBy(near, "rawang-1")).containsExactly(State.SUSPECT);
-		Truth.assertThat(fleet.seenBy(far, "semenyih-1")).containsExactly(State.SUSPECT);
-		Truth.assertThat(fleet.seenBy(near, "semenyih-1")).containsExactly(State.ALIVE);
+		Truth.assertThat(fleet.statesSeenBy(connected, "rawang-1")).containsExactly(State.SUSPECT);
+		Truth.assertThat(fleet.statesSeenBy(isolated, "semenyih-1")).containsExactly(State.SUSPECT);
+		Truth.assertThat(fleet.statesSeenBy(connected, "semenyih-1")).containsExactly(State.ALIVE);
 		fleet.advance(Duration.ofMinutes(5));
 		Truth.assertThat(fleet.allStates()).doesNotContain(State.DEAD);
-		fleet.between(far, near, fleet.hub::heal);
+		fleet.forEachPair(isolated, connected, fleet.hub::heal);
 		fleet.advance(Duration.ofSeconds(10));
 		Truth.assertThat(fleet.allStates()).containsExactly(State.ALIVE);
 	}
 
 	@Test
-	void aLostClaimOfSilenceIsMadeUpFor() {
-		Fleet fleet = Fleet.of(6, THREE);
-		List<String> far = fleet.daemons.keySet().stream().filter((vm) -> vm.startsWith("rawang")).toList();
-		List<String> near = fleet.daemons.keySet().stream().filter((vm) -> !vm.startsWith("rawang")).toList();
-		split(fleet, far, near, false);
+	void lostDataCentreClaimsAreRecovered() {
+		Fleet fleet = Fleet.of(6, DATA_CENTRES);
+		List<String> isolated = fleet.daemons.keySet().stream().filter((vm) -> vm.startsWith("rawang")).toList();
+		List<String> connected = fleet.daemons.keySet().stream().filter((vm) -> !vm.startsWith("rawang")).toList();
+		split(fleet, isolated, connected, false);
 		for (int i = 0; i < 40; i++) {
 			fleet.hub.dropNext(Entries.class);
 		}
 		fleet.advance(Duration.ofSeconds(20));
-		Truth.assertThat(fleet.seenBy(near, "rawang-1")).containsExactly(State.SUSPECT);
-		Truth.assertThat(fleet.seenBy(far, "semenyih-1")).containsExactly(State.SUSPECT);
+		Truth.assertThat(fleet.statesSeenBy(connected, "rawang-1")).containsExactly(State.SUSPECT);
+		Truth.assertThat(fleet.statesSeenBy(isolated, "semenyih-1")).containsExactly(State.SUSPECT);
 	}
 
 	/**
-	 * Symptom: a data centre flaps between alive and suspect. Sequence: one of two relays
-	 * doesn't hear it, the other does. Cause: the two overrule each other.
+	 * Guards against a data centre flapping between alive and suspect when one of two
+	 * relays receives its messages and the other doesn't. This occurs if the two relays
+	 * keep overruling each other.
 	 */
 	@Test
-	void twoRelaysThatHearDifferentThingsSettle() {
-		Fleet fleet = Fleet.of(3, THREE);
+	void relaysWithDifferentObservationsConverge() {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
 		String relay = fleet.daemons.keySet()
 			.stream()
 			.filter((vm) -> vm.startsWith("rawang"))
 			.filter((vm) -> ((MembershipDump) fleet.daemon(vm).membership.dump()).relay())
 			.findFirst()
 			.orElseThrow();
-		List<State> seen = watch(fleet, relay, "semenyih-1");
+		List<State> states = recordStates(fleet, relay, "semenyih-1");
 		for (int i = 0; i < 3; i++) {
 			fleet.hub.silence(new VmId("semenyih-" + i), new VmId(relay));
 		}
 		fleet.advance(Duration.ofSeconds(50));
-		Truth.assertThat(seen.size()).isAtMost(2);
+		Truth.assertThat(states.size()).isAtMost(2);
 		fleet.advance(Duration.ofMinutes(2));
-		Truth.assertThat(seen.size()).isAtMost(6);
+		Truth.assertThat(states.size()).isAtMost(6);
 	}
 
 	/**
-	 * Symptom: when a relay changes, other data centres are avoided for a moment.
-	 * Sequence: a daemon was a relay, ceased to be one and becomes one again. Cause: what
-	 * it last heard as a relay taken for the present.
+	 * Guards against briefly avoiding other data centres when the relays change. A daemon
+	 * was a relay, ceased to be one and becomes one again; the failure occurs if it uses
+	 * the times of the last messages that it received as a relay before.
 	 */
 	@ParameterizedTest
 	@ValueSource(strings = { "rawang-0", "rawang-1", "rawang-2" })
-	void aRelayThatReturnsStartsToListenAnew(String vm) {
-		Fleet fleet = Fleet.of(3, THREE);
+	void reelectedRelayResetsItsObservations(String vm) {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
 		fleet.kill(vm);
 		fleet.advance(Duration.ofSeconds(20));
 		fleet.start(vm);
 		fleet.advance(Duration.ofSeconds(60));
-		List<State> seen = watch(fleet, vm.equals("rawang-0") ? "rawang-1" : "rawang-0", "semenyih-1");
+		List<State> states = recordStates(fleet, vm.equals("rawang-0") ? "rawang-1" : "rawang-0", "semenyih-1");
 		fleet.kill(vm);
 		fleet.advance(Duration.ofSeconds(20));
-		Truth.assertThat(seen).doesNotContain(State.SUSPECT);
+		Truth.assertThat(states).doesNotContain(State.SUSPECT);
 	}
 
 	@Test
-	void aLostDataCentreThatIsOffTheListIsDead() {
-		Fleet fleet = Fleet.of(3, THREE);
+	void unresponsiveDataCentreRemovedFromTheListIsDead() {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
 		for (int i = 0; i < 3; i++) {
 			fleet.kill("rawang-" + i);
 		}
 		fleet.advance(Duration.ofMinutes(2));
-		Truth.assertThat(fleet.seen("rawang-0")).containsExactly(State.SUSPECT);
+		Truth.assertThat(fleet.statesOf("rawang-0")).containsExactly(State.SUSPECT);
 		fleet.list.keySet().removeIf((vm) -> vm.startsWith("rawang"));
 		fleet.advance(Duration.ofSeconds(15));
-		Truth.assertThat(fleet.seen("rawang-0")).containsExactly(State.DEAD);
+		Truth.assertThat(fleet.statesOf("rawang-0")).containsExactly(State.DEAD);
 	}
 
 	/**
-	 * Symptom: one daemon sends work to a leaving daemon that all others avoid. Sequence:
-	 * every push of the mark to it is lost. Cause: claims pushed once and never compared.
+	 * Guards against one daemon sending work to a leaving daemon that all others avoid,
+	 * because every message that would have carried the mark to it was lost. This occurs
+	 * if claims are gossiped once and tables are never compared.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 10, 60 })
-	void lostClaimsAreMadeUpFor(int lost) {
+	void lostClaimsAreRecovered(int lost) {
 		Fleet fleet = Fleet.of(20, "rawang", "semenyih");
 		for (int i = 0; i < lost; i++) {
 			fleet.hub.dropNext(Entries.class);
 		}
 		fleet.daemon("rawang-1").membership.leave();
 		fleet.advance(Duration.ofSeconds(10));
-		Truth.assertThat(fleet.seen("rawang-1")).containsExactly(State.LEAVING);
+		Truth.assertThat(fleet.statesOf("rawang-1")).containsExactly(State.LEAVING);
 	}
 
 	@Test
 	void onlyTwoDaemonsOfADataCentreReadTheList() {
-		Fleet fleet = Fleet.of(20, THREE);
+		Fleet fleet = Fleet.of(20, DATA_CENTRES);
 		int before = fleet.polls;
 		fleet.advance(Duration.ofMinutes(1));
 		Truth.assertThat(fleet.polls - before).isEqualTo(3 * 2 * 20);
 	}
 
 	@Test
-	void listenersHearOfEachChange() {
-		Fleet fleet = Fleet.of(3, THREE);
-		List<State> seen = watch(fleet, "semenyih-1", "rawang-1");
+	void listenersAreNotifiedOfEachChange() {
+		Fleet fleet = Fleet.of(3, DATA_CENTRES);
+		List<State> states = recordStates(fleet, "semenyih-1", "rawang-1");
 		fleet.kill("rawang-1");
 		fleet.advance(Duration.ofSeconds(20));
-		Truth.assertThat(seen).containsExactly(State.SUSPECT, State.DEAD).inOrder();
+		Truth.assertThat(states).containsExactly(State.SUSPECT, State.DEAD).inOrder();
 	}
 
 	/**
-	 * Collects the changes of a VM's state as one daemon sees them.
+	 * Records the state changes of a VM as seen by one daemon.
 	 */
-	private static List<State> watch(Fleet fleet, String observer, String vm) {
-		List<State> seen = new ArrayList<>();
+	private static List<State> recordStates(Fleet fleet, String observer, String vm) {
+		List<State> states = new ArrayList<>();
 		MembershipService membership = fleet.daemon(observer).membership;
 		membership.onChange(() -> {
 			State state = membership.member(new VmId(vm)).map(Member::state).orElse(null);
-			State last = seen.isEmpty() ? State.ALIVE : seen.get(seen.size() - 1);
+			State last = states.isEmpty() ? State.ALIVE : states.get(states.size() - 1);
 			if (state != last) {
-				seen.add(state);
+				states.add(state);
 			}
 		});
-		return seen;
+		return states;
 	}
 
-	private static void split(Fleet fleet, List<String> left, List<String> right, boolean noticed) {
-		if (noticed) {
-			fleet.between(left, right, fleet.hub::cut);
+	private static void split(Fleet fleet, List<String> left, List<String> right, boolean connectionsClosed) {
+		if (connectionsClosed) {
+			fleet.forEachPair(left, right, fleet.hub::cut);
 		}
 		else {
-			fleet.between(left, right, fleet.hub::silence);
-			fleet.between(right, left, fleet.hub::silence);
+			fleet.forEachPair(left, right, fleet.hub::silence);
+			fleet.forEachPair(right, left, fleet.hub::silence);
 		}
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/MembershipTrafficTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/MembershipTrafficTests.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What membership puts on the wire at the target size: 25 data centres of 68 daemons. A
- * daemon may spend 4 KB a second on control in all.
+ * Measures the network traffic of membership at the target size: 25 data centres of 68
+ * daemons. The budget of a daemon for all control traffic is 4 KB a second.
  */
 class MembershipTrafficTests {
 
@@ -33,7 +33,7 @@
 	private final MessageCodec codec = new MessageCodec(MembershipMessages.register(MessageCatalog.builder()).build());
 
 	@Test
-	void messagesAreSmall() {
+	void messagesStayWithinTheirSizeLimits() {
 		PeerIdentity identity = new PeerIdentity(new Incarnation(new VmId("entry-0001"), 1_790_000_000_000L),
 				new DataCentre("shah-alam"), "10.112.134.156:7400", "10.112.134.156:7480");
 		MemberEntry entry = new MemberEntry(identity, 3, Health.SUSPECT, true);
@@ -43,11 +43,11 @@
 	}
 
 	/**
-	 * One data centre in full and the relays of all others, while daemons are restarted
-	 * as often as in the whole fleet: 4,000 a day, here 3 in a minute.
+	 * Simulates one data centre in full and the relays of all others, while daemons are
+	 * restarted at the rate of the whole fleet: 4,000 a day, here 3 in a minute.
 	 */
 	@Test
-	void aDaemonSpendsASmallShareOfItsBudget() {
+	void trafficStaysWithinASmallShareOfTheBudget() {
 		Fleet fleet = new Fleet();
 		for (int i = 0; i < PER_DATA_CENTRE; i++) {
 			fleet.list("home-" + i, false);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/NeighboursTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/NeighboursTests.java
@@ -18,7 +18,7 @@
 class NeighboursTests {
 
 	@Test
-	void oneAloneHasNone() {
+	void singleMemberHasNoNeighbours() {
 		Neighbours neighbours = Neighbours.of(new VmId("entry-0"), List.of());
 		Truth.assertThat(neighbours.successors()).isEmpty();
 		Truth.assertThat(neighbours.predecessors()).isEmpty();
@@ -26,7 +26,7 @@
 
 	@ParameterizedTest
 	@ValueSource(ints = { 2, 3, 9, 68, 200 })
-	void eachExpectsExactlyThoseWhoSendToIt(int size) {
+	void successorsAndPredecessorsMatch(int size) {
 		Map<VmId, Neighbours> all = all(size);
 		all.forEach((member, neighbours) -> {
 			Truth.assertThat(neighbours.successors()).isNotEmpty();
@@ -41,19 +41,19 @@
 	}
 
 	/**
-	 * A claim pushed to successors alone must reach all, within few hops.
+	 * A claim that is sent only to successors must reach all members in few hops.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 2, 9, 68, 200 })
-	void successorsReachAll(int size) {
+	void allMembersAreReachableThroughSuccessors(int size) {
 		Map<VmId, Neighbours> all = all(size);
 		for (VmId from : all.keySet()) {
 			Set<VmId> reached = new HashSet<>(Set.of(from));
-			Deque<VmId> open = new ArrayDeque<>(reached);
-			while (!open.isEmpty()) {
-				for (VmId successor : all.get(open.remove()).successors()) {
+			Deque<VmId> queue = new ArrayDeque<>(reached);
+			while (!queue.isEmpty()) {
+				for (VmId successor : all.get(queue.remove()).successors()) {
 					if (reached.add(successor)) {
-						open.add(successor);
+						queue.add(successor);
 					}
 				}
 			}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/RelaysTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/RelaysTests.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests of {@link Relays} over drawn fleets of VMs of unlike sizes.
+ * Tests {@link Relays} with random fleets of VMs of different sizes.
  */
 class RelaysTests {
 
@@ -31,10 +31,11 @@
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
-	void noSmallVmRelaysWhileALargerOneIsFree(long seed) {
-		// Symptom: configurations come into force seconds late, callers' keys work after
-		// they were taken away. Sequence: a daemon on a VM with a link of 14 Mbit/s is
-		// drawn as a relay; what it has to send queues. Cause: VMs were taken for equal.
+	void smallVmIsNotARelayWhileALargerOneIsAvailable(long seed) {
+		// Guards against choosing a daemon on a VM with a link of 14 Mbit/s as a relay
+		// while larger VMs are available. Its messages then queue, so that
+		// configurations come into force seconds late and callers' keys still work
+		// after they were revoked.
 		Random random = new Random(seed);
 		List<MemberEntry> entries = fleet(random, 40, 0.2);
 		Set<VmId> relays = relaysOf(entries);
@@ -51,21 +52,21 @@
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
-	void theEndOfOneVmMovesAtMostItsOwnDuty(long seed) {
+	void removalOfOneVmReplacesAtMostOneRelay(long seed) {
 		List<MemberEntry> entries = fleet(new Random(seed), 40, 0.2);
 		Set<VmId> before = relaysOf(entries);
-		for (MemberEntry gone : entries) {
+		for (MemberEntry removed : entries) {
 			List<MemberEntry> rest = new ArrayList<>(entries);
-			rest.remove(gone);
-			Set<VmId> moved = new HashSet<>(relaysOf(rest));
-			moved.removeAll(before);
-			Truth.assertThat(moved.size()).isAtMost(before.contains(gone.vm()) ? 1 : 0);
+			rest.remove(removed);
+			Set<VmId> added = new HashSet<>(relaysOf(rest));
+			added.removeAll(before);
+			Truth.assertThat(added.size()).isAtMost(before.contains(removed.vm()) ? 1 : 0);
 		}
 	}
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4 })
-	void amongEqualVmsTheSizeChangesNothing(long seed) {
+	void capacityDoesNotAffectTheChoiceAmongEqualVms(long seed) {
 		Random random = new Random(seed);
 		List<MemberEntry> large = fleet(random, 40, 1);
 		List<MemberEntry> unknown = large.stream().map((entry) -> entry(entry.vm(), VmCapacity.UNKNOWN)).toList();
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/SilentDataCentreTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/UnresponsiveDataCentreTests.java
@@ -10,31 +10,31 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * How soon a data centre notices that it is alone.
+ * Tests how soon the daemons of a partitioned data centre detect the partition.
  */
-class SilentDataCentreTests {
+class UnresponsiveDataCentreTests {
 
 	private static final Duration CONFIGURATION_STALE_AFTER = Duration.ofSeconds(5);
 
 	/**
-	 * Symptom: a daemon admits requests by a configuration that was replaced more than 5
-	 * s ago. Sequence: a data centre with two daemons loses the others and the platform;
-	 * just after that a change is accepted by the others. Cause: the two confirm each
-	 * other's version and still count the others as answering, so that they believe to
-	 * speak for a majority.
+	 * Guards against a daemon admitting requests by a configuration that was replaced
+	 * more than 5 s ago. A data centre with two daemons loses the connections to the
+	 * others and to the platform, and just afterwards the others accept a change. The
+	 * failure occurs if the two daemons confirm each other's version and still count the
+	 * others as responsive, so that they believe that they are part of a majority.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 2, 20 })
-	void thoseCutOffNoticeBeforeTheirConfigurationIsStale(int perDataCentre) {
+	void partitionIsDetectedBeforeTheConfigurationIsStale(int perDataCentre) {
 		Fleet fleet = Fleet.of(perDataCentre, "shah-alam", "rawang", "semenyih");
-		List<String> lost = names(perDataCentre, "rawang");
+		List<String> isolated = names(perDataCentre, "rawang");
 		List<String> rest = Stream.of("shah-alam", "semenyih")
 			.flatMap((dataCentre) -> names(perDataCentre, dataCentre).stream())
 			.toList();
-		fleet.between(lost, rest, fleet.hub::cut);
+		fleet.forEachPair(isolated, rest, fleet.hub::cut);
 		fleet.advance(CONFIGURATION_STALE_AFTER.minusMillis(500));
 		for (String other : rest) {
-			Truth.assertThat(fleet.seenBy(lost, other)).containsExactly(Member.State.SUSPECT);
+			Truth.assertThat(fleet.statesSeenBy(isolated, other)).containsExactly(Member.State.SUSPECT);
 		}
 	}
 
