--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Claims.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Claims.java
@@ -46,7 +46,7 @@
 	 * @param view notified of each change
 	 * @param self this daemon
 	 * @param leaveListener called when this daemon's own entry becomes leaving or a later
-	 * start of this VM is seen
+	 * start of this VM is known
 	 * @param metrics counts suspicions, declarations of death and refutations
 	 */
 	Claims(MemberTable table, DataCentreStatuses dataCentres, ClaimGossip gossip, ViewCache view, Incarnation self,
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/DataCentreStatuses.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/DataCentreStatuses.java
@@ -116,8 +116,8 @@
 		boolean changed = false;
 		long now = this.clock.nanos();
 		for (DataCentre other : others) {
-			long at = this.lastContactAt.computeIfAbsent(other, (key) -> now);
-			boolean unresponsiveHere = now - at > timeoutNanos;
+			long contactAt = this.lastContactAt.computeIfAbsent(other, (key) -> now);
+			boolean unresponsiveHere = now - contactAt > timeoutNanos;
 			if (unresponsiveHere != isUnresponsive(other) && !(unresponsiveHere && wasOverruled(other, now))) {
 				changed |= claim(other, unresponsiveHere);
 			}
@@ -143,9 +143,9 @@
 	}
 
 	private boolean wasOverruled(DataCentre target, long now) {
-		Long at = this.overruledAt.get(target);
+		Long overruled = this.overruledAt.get(target);
 		Long contactAt = this.lastContactAt.get(target);
-		return at != null && now - at < OVERRULE_HOLD_NANOS && contactAt - at < 0;
+		return overruled != null && now - overruled < OVERRULE_HOLD_NANOS && contactAt - overruled < 0;
 	}
 
 	private boolean claim(DataCentre target, boolean unresponsive) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/FailureDetector.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/FailureDetector.java
@@ -36,7 +36,7 @@
 
 	private final Listener listener;
 
-	private final Counter reachableElsewhere;
+	private final Counter foundReachable;
 
 	private final Counter unconfirmed;
 
@@ -50,7 +50,7 @@
 		this.clock = clock;
 		this.times = times;
 		this.listener = listener;
-		this.reachableElsewhere = metrics.counter("membership.silent-to-this-daemon-only");
+		this.foundReachable = metrics.counter("membership.silent-to-this-daemon-only");
 		this.unconfirmed = metrics.counter("membership.verdicts-held");
 	}
 
@@ -94,8 +94,9 @@
 	}
 
 	/**
-	 * Starts an inquiry about a member. The outcome is ignored if this process was paused
-	 * meanwhile: answers may then be waiting unread although the time-out has elapsed.
+	 * Starts an inquiry about a member. If this process was paused meanwhile, an outcome
+	 * without contact is ignored: answers may then be waiting unread although the
+	 * time-out has elapsed.
 	 * @param member the member
 	 * @param monitor its monitoring state
 	 * @param confirming whether to ask the quorum that confirms a death rather than a few
@@ -110,7 +111,7 @@
 			long now = this.clock.nanos();
 			boolean paused = now - startedAt > 2 * this.times.inquiryTimeout().toNanos();
 			if (outcome.reachable() || paused) {
-				this.reachableElsewhere.inc(outcome.reachable() ? 1 : 0);
+				this.foundReachable.inc(outcome.reachable() ? 1 : 0);
 				monitor.recordContact(now);
 				return;
 			}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/TableExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/TableExchange.java
@@ -106,9 +106,9 @@
 		remote.members().forEach((summary) -> byVm.put(summary.vm(), summary));
 		List<MemberEntry> newer = new ArrayList<>();
 		for (MemberEntry local : inDataCentre(remote.dataCentre())) {
-			MemberSummary current = byVm.get(local.vm());
-			boolean missing = current == null && local.health() != Health.DEAD;
-			if (missing || (current != null && supersedes(MemberSummary.of(local), current))) {
+			MemberSummary remoteSummary = byVm.get(local.vm());
+			boolean missing = remoteSummary == null && local.health() != Health.DEAD;
+			if (missing || (remoteSummary != null && supersedes(MemberSummary.of(local), remoteSummary))) {
 				newer.add(local);
 			}
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Topology.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Topology.java
@@ -26,7 +26,7 @@
 
 	private static final Comparator<VmId> BY_NAME = Comparator.comparing(VmId::value);
 
-	private static final int MAX_DIAL_CANDIDATES = 8;
+	private static final int MAX_LOCAL_CANDIDATES = 8;
 
 	private static final long ROTATION_NANOS = 10_000_000_000L;
 
@@ -103,7 +103,7 @@
 	Set<VmId> dialCandidates() {
 		Set<VmId> candidates = new TreeSet<>(BY_NAME);
 		List<VmId> absent = this.list.vmsIn(this.localDataCentre).stream().filter((vm) -> !isPresent(vm)).toList();
-		candidates.addAll(this.hash.first(rotationKey(), absent, MAX_DIAL_CANDIDATES));
+		candidates.addAll(this.hash.first(rotationKey(), absent, MAX_LOCAL_CANDIDATES));
 		for (DataCentre other : this.list.dataCentres()) {
 			if (!other.equals(this.localDataCentre) && this.relays.of(other).isEmpty()) {
 				candidates.addAll(this.hash.first(rotationKey(), this.list.vmsIn(other), Relays.RELAYS));
