--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/Candidate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/Candidate.java
@@ -3,25 +3,27 @@
 import org.bramleyscale.EndpointId;
 
 /**
- * What an entry knows of one endpoint at the moment of a routing decision.
+ * A daemon's view of one endpoint at the time of a routing decision.
  *
  * @param endpoint the endpoint
- * @param reportAgeNanos how old the report is; negative if there is none yet
- * @param running requests at work by the last report
- * @param waiting requests waiting by the last report
- * @param slots requests it works on at once; 0 if unknown
- * @param queuedPrefillTokens prompt tokens not yet computed by the last report
- * @param kvUsed KV tokens in use by the last report
- * @param kvCapacity KV tokens in all; 0 if unknown
- * @param ownPrefillTokens prompt tokens this entry has sent there that no report covers
+ * @param reportAgeNanos age of the endpoint's last report; negative if there is none yet
+ * @param running requests being processed according to the last report
+ * @param waiting requests queued according to the last report
+ * @param slots maximum number of concurrent requests; 0 if unknown
+ * @param queuedPrefillTokens prompt tokens whose prefill is pending according to the last
+ * report
+ * @param kvUsed KV-cache tokens in use according to the last report
+ * @param kvCapacity KV-cache capacity in tokens; 0 if unknown
+ * @param ownPrefillTokens prompt tokens sent there by this daemon that no report covers
  * yet
- * @param ownInFlight requests this entry has there now
- * @param grantSlots slots left in this entry's grant
- * @param grantKv KV tokens left in this entry's grant
- * @param prefillTokensPerSecond learnt speed of prompt computation; 0 if unknown
- * @param stepSeconds learnt time between tokens; 0 if unknown
- * @param penaltySeconds seconds by which it lately answered later than predicted
- * @param readmitting whether it is being re-admitted after ejection and should get little
+ * @param ownInFlight in-flight requests of this daemon
+ * @param grantSlots slots left in this daemon's grant
+ * @param grantKv KV-cache tokens left in this daemon's grant
+ * @param prefillTokensPerSecond measured prefill speed; 0 if unknown
+ * @param stepSeconds measured time between tokens; 0 if unknown
+ * @param penaltySeconds smoothed delay of its recent answers against the predictions
+ * @param readmitting whether it is being re-admitted after ejection and should get few
+ * requests
  */
 public record Candidate(EndpointId endpoint, long reportAgeNanos, int running, int waiting, int slots,
 		long queuedPrefillTokens, long kvUsed, long kvCapacity, long ownPrefillTokens, int ownInFlight, int grantSlots,
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/Decision.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/Decision.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * One routing decision: the request, the candidates and what is known of their pool.
+ * One routing decision: the request, the candidates and the state of their pool.
  *
  * <p>
  * Times are in seconds. Confined to the scheduler's thread.
  */
 final class Decision {
 
-	/** Work ahead, in tokens, from which a longer prompt rather waits at the entry. */
-	private static final double LONGEST_AHEAD_TOKENS = 4_096;
+	/** Backlog of an endpoint in tokens above which longer prompts wait at the daemon. */
+	private static final double MAX_BACKLOG_TOKENS = 4_096;
 
-	private static final double NANOS = 1e9;
+	private static final double NANOS_PER_SECOND = 1e9;
 
 	private final RoutingRequest request;
 
@@ -21,13 +21,14 @@
 
 	private final PoolState pool;
 
-	private final PrefixMemory prefixes;
+	private final PrefixCacheTracker prefixes;
 
 	private final int position;
 
 	private final Lane lane;
 
-	Decision(RoutingRequest request, List<Candidate> candidates, PoolState pool, PrefixMemory prefixes, int position) {
+	Decision(RoutingRequest request, List<Candidate> candidates, PoolState pool, PrefixCacheTracker prefixes,
+			int position) {
 		this.request = request;
 		this.candidates = candidates;
 		this.pool = pool;
@@ -37,13 +38,13 @@
 	}
 
 	/**
-	 * Whether a candidate may be chosen.
+	 * Returns whether a candidate may be chosen.
 	 * @param index the candidate
-	 * @param lanes whether lengths are kept apart
-	 * @param queueing whether longer prompts wait at the entry
-	 * @return true if it may
+	 * @param lanes whether lanes are in use
+	 * @param queueing whether longer prompts wait at the daemon
+	 * @return whether the candidate is eligible
 	 */
-	boolean open(int index, boolean lanes, boolean queueing) {
+	boolean eligible(int index, boolean lanes, boolean queueing) {
 		Candidate candidate = this.candidates.get(index);
 		if (candidate.grantSlots() <= 0 || candidate.grantKv() < this.request.kvTokens()) {
 			return false;
@@ -57,70 +58,73 @@
 		if (lanes && !this.pool.admits(this.lane, index)) {
 			return false;
 		}
-		return !queueing || ahead(index) <= longestAhead(index);
+		return !queueing || backlogSeconds(index) <= maxBacklogSeconds(index);
 	}
 
 	/**
-	 * The predicted time to first token and what speaks against the candidate besides.
+	 * Returns the score of a candidate: the predicted time to first token, the expected
+	 * interference and a bias that breaks ties.
 	 * @param index the candidate
-	 * @param lanes whether lengths are kept apart
-	 * @return the score; the smallest wins
+	 * @param lanes whether lanes are in use
+	 * @return the score in seconds; the lowest is the best
 	 */
 	double score(int index, boolean lanes) {
-		double interference = lanes ? this.pool.interference(this.lane, index) : 0;
-		return firstToken(index) + interference + preference(index);
+		double interference = lanes ? this.pool.interferenceSeconds(this.lane, index) : 0;
+		return firstTokenSeconds(index) + interference + tieBreakSeconds(index);
 	}
 
 	RoutingChoice choice(int chosen, int predicted) {
-		double first = firstToken(predicted);
+		double first = firstTokenSeconds(predicted);
 		double finish = first + this.request.maxTokens() * this.pool.step(this.candidates.get(predicted));
-		return new RoutingChoice(chosen, (long) (first * NANOS), (long) (finish * NANOS));
+		return new RoutingChoice(chosen, (long) (first * NANOS_PER_SECOND), (long) (finish * NANOS_PER_SECOND));
 	}
 
-	private double firstToken(int index) {
+	private double firstTokenSeconds(int index) {
 		Candidate candidate = this.candidates.get(index);
 		if (this.request.promptTokens() == 0) {
-			return reply(candidate);
+			return callSeconds(candidate);
 		}
-		double own = this.request.promptTokens();
-		if (this.request.prefix() != 0 && this.prefixes.cached(this.request.prefix(), candidate.endpoint())) {
-			own = Math.max(1, own - this.request.prefixTokens());
+		double prefillTokens = this.request.promptTokens();
+		if (this.request.prefix() != 0 && this.prefixes.isCached(this.request.prefix(), candidate.endpoint())) {
+			prefillTokens = Math.max(1, prefillTokens - this.request.prefixTokens());
 		}
-		return this.pool.step(candidate) + ahead(index) + own / this.pool.speed(index) + candidate.penaltySeconds();
+		return this.pool.step(candidate) + backlogSeconds(index) + prefillTokens / this.pool.speed(index)
+				+ candidate.penaltySeconds();
 	}
 
-	// Calls of plain services have no length; only their number counts.
-	private double reply(Candidate candidate) {
+	// Calls of plain services have no prompt; only the number of requests counts.
+	private double callSeconds(Candidate candidate) {
 		int load = Math.max(candidate.ownInFlight(), candidate.running() + candidate.waiting());
 		double rounds = 1 + (double) load / Math.max(1, candidate.slots());
-		return this.pool.replySeconds() * rounds + candidate.penaltySeconds();
+		return this.pool.callSeconds() * rounds + candidate.penaltySeconds();
 	}
 
-	// What was queued by the report, less what was done since, and what this entry has
+	// The reported backlog, less the time since the report, plus what this daemon has
 	// sent since.
-	private double ahead(int index) {
+	private double backlogSeconds(int index) {
 		Candidate candidate = this.candidates.get(index);
 		double reported = candidate.queuedPrefillTokens() / this.pool.speed(index);
-		double ahead = Math.max(0, reported - age(candidate)) + candidate.ownPrefillTokens() / this.pool.speed(index);
-		return ahead * this.pool.blockedPart(this.lane, index);
+		double seconds = Math.max(0, reported - reportAgeSeconds(candidate))
+				+ candidate.ownPrefillTokens() / this.pool.speed(index);
+		return seconds * this.pool.waitedFraction(this.lane, index);
 	}
 
-	// What the report shows ahead may be done by the time the prompt arrives.
-	private double longestAhead(int index) {
-		return Math.max(LONGEST_AHEAD_TOKENS / this.pool.speed(index), age(this.candidates.get(index)));
+	// The reported backlog may be complete by the time the prompt arrives.
+	private double maxBacklogSeconds(int index) {
+		return Math.max(MAX_BACKLOG_TOKENS / this.pool.speed(index), reportAgeSeconds(this.candidates.get(index)));
 	}
 
-	// A small bias that differs between entries, so that entries with the same view don't
-	// all choose the same endpoint among equals.
-	private double preference(int index) {
+	// A small bias that differs between daemons, so that daemons with the same view don't
+	// all choose the same one of equally good endpoints.
+	private double tieBreakSeconds(int index) {
 		LanePlan plan = this.pool.plan();
 		int size = plan.size(plan.lane(index));
-		int place = Math.floorMod(plan.rank(index) - this.position, size);
-		return this.pool.step(this.candidates.get(index)) * place / size;
+		int offset = Math.floorMod(plan.rank(index) - this.position, size);
+		return this.pool.step(this.candidates.get(index)) * offset / size;
 	}
 
-	private static double age(Candidate candidate) {
-		return Math.max(0, candidate.reportAgeNanos()) / NANOS;
+	private static double reportAgeSeconds(Candidate candidate) {
+		return Math.max(0, candidate.reportAgeNanos()) / NANOS_PER_SECOND;
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/EndpointHealth.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/EndpointHealth.java
@@ -18,22 +18,24 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Ejects endpoints that answer late or badly although they report that they are well, and
- * re-admits them slowly.
+ * Ejects endpoints that answer late or fail although they report that they are healthy,
+ * and re-admits them gradually.
  *
  * <p>
  * Lateness is measured against the prediction and against the other endpoints of the same
- * service, so that general overload ejects nobody. Invariant: of the endpoints of one
- * service at most {@link #LARGEST_EJECTED_SHARE} are kept from new work at a time.
+ * service, so that general overload ejects none. Invariant: of the endpoints of one
+ * service at most {@link #MAX_EJECTED_SHARE} are excluded from new requests at a time.
  * Confined to the scheduler's thread.
  */
 public final class EndpointHealth {
 
-	/** The largest share of a service's endpoints that may be ejected at a time. */
-	public static final double LARGEST_EJECTED_SHARE = 0.34;
+	/** The maximum share of a service's endpoints that are ejected at a time. */
+	public static final double MAX_EJECTED_SHARE = 0.34;
 
-	/** Lateness relative to the others, as a factor, that ejects. */
-	private static final double EJECTING_FACTOR = 3;
+	/**
+	 * Lateness relative to the median, as a factor, above which an endpoint is ejected.
+	 */
+	private static final double EJECTION_FACTOR = 3;
 
 	private final Clock clock;
 
@@ -50,36 +52,36 @@
 	}
 
 	/**
-	 * Learns from one attempt that ended or brought its first token.
+	 * Records an attempt that ended or returned its first token.
 	 * @param endpoint the endpoint
-	 * @param observation what was seen
+	 * @param observation the measurements of the attempt
 	 */
 	public void observe(EndpointId endpoint, Observation observation) {
 		HealthRecord record = record(endpoint);
 		if (observation.failed()) {
-			record.failed();
+			record.recordFailure();
 		}
 		else if (observation.firstToken() != null && observation.predictedFirstToken() != null) {
-			record.answered(seconds(observation.firstToken()), seconds(observation.predictedFirstToken()));
+			record.recordFirstToken(seconds(observation.firstToken()), seconds(observation.predictedFirstToken()));
 		}
 	}
 
 	/**
-	 * Learns that an attempt has brought no first token yet. A slow endpoint would
-	 * otherwise go on getting work until its first answer, which is as late as it is
-	 * slow.
+	 * Records that an attempt has returned no first token yet. Without this, a slow
+	 * endpoint would be sent new requests until its first answer, which is as late as the
+	 * endpoint is slow.
 	 * @param endpoint the endpoint
-	 * @param waited how long the attempt has been there
-	 * @param predicted the time to first token predicted at sending
+	 * @param waited the time since the attempt was sent
+	 * @param predicted the time to first token predicted when it was sent
 	 */
 	public void overdue(EndpointId endpoint, Duration waited, Duration predicted) {
-		record(endpoint).overdue(seconds(waited), seconds(predicted));
+		record(endpoint).recordOverdue(seconds(waited), seconds(predicted));
 	}
 
 	/**
-	 * The seconds by which an endpoint lately answered later than predicted.
+	 * Returns the smoothed delay of an endpoint's recent answers against the predictions.
 	 * @param endpoint the endpoint
-	 * @return seconds, 0 for an endpoint that keeps its times
+	 * @return the delay in seconds, 0 for an endpoint that answers as predicted
 	 */
 	public double penaltySeconds(EndpointId endpoint) {
 		HealthRecord record = this.records.get(endpoint);
@@ -87,9 +89,9 @@
 	}
 
 	/**
-	 * Whether an endpoint is being re-admitted and should get little.
+	 * Returns whether an endpoint is being re-admitted and should get few requests.
 	 * @param endpoint the endpoint
-	 * @return true from the end of an ejection to the last good probe
+	 * @return true from the end of an ejection to the last required probe
 	 */
 	public boolean readmitting(EndpointId endpoint) {
 		HealthRecord record = this.records.get(endpoint);
@@ -97,12 +99,12 @@
 	}
 
 	/**
-	 * The endpoints of one service that may get new work.
-	 * @param endpoints all its endpoints
-	 * @return those not ejected, in the same order
+	 * Returns the endpoints of one service that may get new requests.
+	 * @param endpoints all endpoints of the service
+	 * @return the endpoints that aren't ejected, in the same order
 	 */
 	public List<EndpointId> usable(List<EndpointId> endpoints) {
-		update(endpoints);
+		updateStates(endpoints);
 		List<EndpointId> ejected = new ArrayList<>();
 		for (EndpointId endpoint : endpoints) {
 			HealthRecord record = this.records.get(endpoint);
@@ -110,26 +112,28 @@
 				ejected.add(endpoint);
 			}
 		}
-		int most = (int) (endpoints.size() * LARGEST_EJECTED_SHARE);
-		if (ejected.size() > most) {
-			// Too many look bad: the fault lies elsewhere, so the least bad stay in use.
+		int maxEjected = (int) (endpoints.size() * MAX_EJECTED_SHARE);
+		if (ejected.size() > maxEjected) {
+			// If too many endpoints appear late, the cause lies elsewhere; the least late
+			// stay
+			// in use.
 			ejected.sort(Comparator.comparingDouble((endpoint) -> -this.records.get(endpoint).lateness()));
-			ejected = ejected.subList(0, most);
+			ejected = ejected.subList(0, maxEjected);
 		}
-		Set<EndpointId> left = new HashSet<>(ejected);
-		return endpoints.stream().filter((endpoint) -> !left.contains(endpoint)).toList();
+		Set<EndpointId> excluded = new HashSet<>(ejected);
+		return endpoints.stream().filter((endpoint) -> !excluded.contains(endpoint)).toList();
 	}
 
 	/**
-	 * Forgets all other endpoints.
+	 * Removes the records of all other endpoints.
 	 * @param endpoints the endpoints that still exist
 	 */
 	public void retain(Collection<EndpointId> endpoints) {
 		this.records.keySet().retainAll(endpoints);
 	}
 
-	private void update(List<EndpointId> endpoints) {
-		double usual = usualLateness(endpoints);
+	private void updateStates(List<EndpointId> endpoints) {
+		double median = medianLateness(endpoints);
 		long now = this.clock.nanos();
 		for (EndpointId endpoint : endpoints) {
 			HealthRecord record = this.records.get(endpoint);
@@ -137,12 +141,12 @@
 				continue;
 			}
 			HealthRecord.State before = record.state();
-			record.update(now, usual + Math.log(EJECTING_FACTOR));
-			count(before, record.state());
+			record.update(now, median + Math.log(EJECTION_FACTOR));
+			countTransition(before, record.state());
 		}
 	}
 
-	private void count(HealthRecord.State before, HealthRecord.State after) {
+	private void countTransition(HealthRecord.State before, HealthRecord.State after) {
 		if (before != after && after == HealthRecord.State.EJECTED) {
 			this.ejections.inc();
 		}
@@ -151,7 +155,7 @@
 		}
 	}
 
-	private double usualLateness(List<EndpointId> endpoints) {
+	private double medianLateness(List<EndpointId> endpoints) {
 		double[] values = new double[endpoints.size()];
 		for (int i = 0; i < values.length; i++) {
 			HealthRecord record = this.records.get(endpoints.get(i));
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/HealthRecord.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/HealthRecord.java
@@ -1,30 +1,31 @@
 package org.bramleyscale.internal.routing;
 
 /**
- * What is known of one endpoint's punctuality.
+ * The lateness, failures and ejection state of one endpoint.
  *
  * <p>
- * States: healthy, ejected for a time that doubles at each relapse, re-admitting until a
- * few probes were good. Not safe for use by multiple threads.
+ * States: healthy, ejected for a time that doubles with each ejection until the endpoint
+ * is healthy again, and re-admitting until a few probes have succeeded. Not safe for use
+ * by multiple threads.
  */
 final class HealthRecord {
 
-	private static final double GAIN = 0.3;
+	private static final double LATENESS_GAIN = 0.3;
 
 	private static final double PENALTY_GAIN = 0.3;
 
-	/** Logarithm of the largest factor that one observation can count as. */
-	private static final double WORST = Math.log(30);
+	/** Logarithm of the factor to which the lateness of one sample is clipped. */
+	private static final double MAX_LATENESS = Math.log(30);
 
-	private static final int FAILURES_THAT_EJECT = 3;
+	private static final int EJECTION_FAILURES = 3;
 
-	private static final int GOOD_PROBES = 3;
+	private static final int REQUIRED_PROBES = 3;
 
-	private static final long SHORTEST_EJECTION_NANOS = 5_000_000_000L;
+	private static final long MIN_EJECTION_NANOS = 5_000_000_000L;
 
-	private static final long LONGEST_EJECTION_NANOS = 60_000_000_000L;
+	private static final long MAX_EJECTION_NANOS = 60_000_000_000L;
 
-	/** Lateness below this many seconds is noise at any speed. */
+	/** Added to both times, since smaller differences are noise at any speed. */
 	private static final double NOISE_SECONDS = 0.05;
 
 	private State state = State.HEALTHY;
@@ -35,21 +36,21 @@
 
 	private int consecutiveFailures;
 
-	private int goodProbes;
+	private int successfulProbes;
 
-	private boolean badProbe;
+	private boolean probeFailed;
 
 	private long ejectedUntil;
 
-	private long nextEjection = SHORTEST_EJECTION_NANOS;
+	private long nextEjection = MIN_EJECTION_NANOS;
 
 	State state() {
 		return this.state;
 	}
 
 	/**
-	 * The running logarithm of measured over predicted time.
-	 * @return 0 for a punctual endpoint
+	 * Returns the smoothed logarithm of measured over predicted time to first token.
+	 * @return the lateness, 0 for an endpoint that answers as predicted
 	 */
 	double lateness() {
 		return this.lateness;
@@ -59,51 +60,51 @@
 		return this.penalty;
 	}
 
-	void failed() {
+	void recordFailure() {
 		this.consecutiveFailures++;
-		this.badProbe = true;
-		learn(WORST, 0);
+		this.probeFailed = true;
+		addSample(MAX_LATENESS, 0);
 	}
 
-	void answered(double taken, double predicted) {
+	void recordFirstToken(double measured, double predicted) {
 		this.consecutiveFailures = 0;
-		double late = Math.log((taken + NOISE_SECONDS) / (predicted + NOISE_SECONDS));
-		learn(late, taken - predicted);
-		if (late < Math.log(2)) {
-			this.goodProbes++;
+		double sample = Math.log((measured + NOISE_SECONDS) / (predicted + NOISE_SECONDS));
+		addSample(sample, measured - predicted);
+		if (sample < Math.log(2)) {
+			this.successfulProbes++;
 		}
 		else {
-			this.badProbe = true;
+			this.probeFailed = true;
 		}
 	}
 
-	void overdue(double waited, double predicted) {
-		double late = Math.log((waited + NOISE_SECONDS) / (predicted + NOISE_SECONDS));
-		if (late > this.lateness) {
-			this.lateness = Math.min(late, WORST);
+	void recordOverdue(double waited, double predicted) {
+		double sample = Math.log((waited + NOISE_SECONDS) / (predicted + NOISE_SECONDS));
+		if (sample > this.lateness) {
+			this.lateness = Math.min(sample, MAX_LATENESS);
 			this.penalty = Math.max(this.penalty, waited - predicted);
 		}
 	}
 
-	void update(long now, double ejectingLateness) {
+	void update(long now, double ejectionLateness) {
 		switch (this.state) {
 			case HEALTHY -> {
-				if (this.lateness > ejectingLateness || this.consecutiveFailures >= FAILURES_THAT_EJECT) {
+				if (this.lateness > ejectionLateness || this.consecutiveFailures >= EJECTION_FAILURES) {
 					eject(now);
 				}
 			}
 			case EJECTED -> {
 				if (now - this.ejectedUntil >= 0) {
-					readmit();
+					startReadmission();
 				}
 			}
 			case READMITTING -> {
-				if (this.badProbe) {
+				if (this.probeFailed) {
 					eject(now);
 				}
-				else if (this.goodProbes >= GOOD_PROBES) {
+				else if (this.successfulProbes >= REQUIRED_PROBES) {
 					this.state = State.HEALTHY;
-					this.nextEjection = SHORTEST_EJECTION_NANOS;
+					this.nextEjection = MIN_EJECTION_NANOS;
 				}
 			}
 		}
@@ -112,36 +113,36 @@
 	private void eject(long now) {
 		this.state = State.EJECTED;
 		this.ejectedUntil = now + this.nextEjection;
-		this.nextEjection = Math.min(LONGEST_EJECTION_NANOS, this.nextEjection * 2);
+		this.nextEjection = Math.min(MAX_EJECTION_NANOS, this.nextEjection * 2);
 	}
 
-	private void readmit() {
+	private void startReadmission() {
 		this.state = State.READMITTING;
-		this.goodProbes = 0;
-		this.badProbe = false;
+		this.successfulProbes = 0;
+		this.probeFailed = false;
 		this.consecutiveFailures = 0;
 		this.lateness = 0;
 		this.penalty = 0;
 	}
 
-	private void learn(double late, double seconds) {
-		double clipped = Math.max(-WORST, Math.min(WORST, late));
-		this.lateness += GAIN * (clipped - this.lateness);
+	private void addSample(double sample, double seconds) {
+		double clipped = Math.max(-MAX_LATENESS, Math.min(MAX_LATENESS, sample));
+		this.lateness += LATENESS_GAIN * (clipped - this.lateness);
 		this.penalty = Math.max(0, this.penalty + PENALTY_GAIN * (seconds - this.penalty));
 	}
 
 	/**
-	 * The states of an endpoint.
+	 * The ejection state of an endpoint.
 	 */
 	enum State {
 
-		/** Gets work as usual. */
+		/** Gets requests without restriction. */
 		HEALTHY,
 
-		/** Gets no new work. */
+		/** Gets no new requests. */
 		EJECTED,
 
-		/** Gets a few probes. */
+		/** Gets single requests as probes. */
 		READMITTING
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/Lane.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/Lane.java
@@ -1,33 +1,33 @@
 package org.bramleyscale.internal.routing;
 
 /**
- * Kinds of work that are kept on different endpoints.
+ * The lanes of a pool, each for prompts of a range of lengths.
  */
 enum Lane {
 
-	/** Questions and notices, whose time to first token matters most. */
+	/** Short prompts, whose time to first token matters most. */
 	SHORT(2_048),
 
 	/**
-	 * A few pages. They stand between the others, so that daemons that disagree about the
-	 * borders by one endpoint don't put a manual in front of a question.
+	 * Prompts of a few pages. This lane separates the other two, so that daemons whose
+	 * lane borders differ by one endpoint don't queue a long prompt ahead of a short one.
 	 */
 	MEDIUM(8_192),
 
-	/** Everything longer. */
+	/** All longer prompts. */
 	LONG(Integer.MAX_VALUE);
 
 	private static final Lane[] VALUES = values();
 
-	private final int largestTokens;
+	private final int maxPromptTokens;
 
-	Lane(int largestTokens) {
-		this.largestTokens = largestTokens;
+	Lane(int maxPromptTokens) {
+		this.maxPromptTokens = maxPromptTokens;
 	}
 
 	static Lane of(int promptTokens) {
 		for (Lane lane : VALUES) {
-			if (promptTokens <= lane.largestTokens) {
+			if (promptTokens <= lane.maxPromptTokens) {
 				return lane;
 			}
 		}
@@ -35,11 +35,12 @@
 	}
 
 	/**
-	 * What a prompt of this lane may keep an endpoint busy with, in tokens.
-	 * @return a typical upper value
+	 * Returns a typical upper value for the prompt tokens of this lane, which bounds how
+	 * long one of its prompts occupies an endpoint.
+	 * @return the number of tokens
 	 */
 	int typicalTokens() {
-		return (this == LONG) ? 8 * MEDIUM.largestTokens : this.largestTokens;
+		return (this == LONG) ? 8 * MEDIUM.maxPromptTokens : this.maxPromptTokens;
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/LaneOrder.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/LaneOrder.java
@@ -8,8 +8,8 @@
 import org.bramleyscale.EndpointId;
 
 /**
- * The order in which all daemons line up the endpoints of a pool: short work begins at
- * one end, long work at the other.
+ * The order in which all daemons sort the endpoints of a pool before they partition it
+ * into lanes. The short lane starts at one end, the long lane at the other.
  *
  * <p>
  * Stateless.
@@ -22,29 +22,30 @@
 	}
 
 	/**
-	 * Orders from the short end to the long end: faster classes first, since the time to
-	 * first token of short prompts gains most from them, then by a hash of the name.
-	 * @param <T> what is ordered
-	 * @param endpoint its endpoint
-	 * @param speed the endpoint's speed
-	 * @param usualSpeed the speed in the middle of the pool
-	 * @return the order
+	 * Orders from the short end to the long end: faster classes first, since they improve
+	 * the time to first token of short prompts most, then by a hash of the endpoint's
+	 * name.
+	 * @param <T> the type of the elements
+	 * @param endpoint returns the endpoint of an element
+	 * @param speed returns the speed of an element's endpoint
+	 * @param medianSpeed the median speed of the pool
+	 * @return the comparator
 	 */
 	public static <T> Comparator<T> comparing(Function<T, EndpointId> endpoint, ToDoubleFunction<T> speed,
-			double usualSpeed) {
-		return Comparator.<T>comparingInt((item) -> -speedClass(speed.applyAsDouble(item), usualSpeed))
+			double medianSpeed) {
+		return Comparator.<T>comparingInt((item) -> -speedClass(speed.applyAsDouble(item), medianSpeed))
 			.thenComparingLong((item) -> hash(endpoint.apply(item)));
 	}
 
 	/**
-	 * The class of a speed. Classes are wide enough for estimates of equal endpoints to
-	 * fall into the same one.
+	 * Returns the class of a speed. Classes are wide enough that the estimates for
+	 * equally fast endpoints fall into the same one.
 	 * @param speed the speed
-	 * @param usualSpeed the speed in the middle of the pool
-	 * @return 0 for about the usual speed, 4 for about twice that
+	 * @param medianSpeed the median speed of the pool
+	 * @return 0 for about the median speed, 4 for about twice that
 	 */
-	static int speedClass(double speed, double usualSpeed) {
-		return (int) Math.round(CLASSES_PER_OCTAVE * Math.log(speed / usualSpeed) / Math.log(2));
+	static int speedClass(double speed, double medianSpeed) {
+		return (int) Math.round(CLASSES_PER_OCTAVE * Math.log(speed / medianSpeed) / Math.log(2));
 	}
 
 	static long hash(EndpointId endpoint) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/LanePlan.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/LanePlan.java
@@ -7,22 +7,22 @@
 import org.bramleyscale.EndpointId;
 
 /**
- * Divides a pool's endpoints into lanes for short, medium and long prompts.
+ * Partitions a pool's endpoints into lanes for short, medium and long prompts.
  *
  * <p>
- * All daemons line the endpoints up in the same order and cut it by the same rule, so
- * they agree about the lanes as far as they agree about speeds and mix. Each lane gets
- * its load and a part of the spare capacity: the largest part goes to the short lane,
- * whose wait matters most. Invariant: every candidate is in exactly one lane. Confined to
- * the scheduler's thread.
+ * All daemons sort the endpoints in the same order and partition them by the same rule,
+ * so their lanes agree as far as their estimates of endpoint speeds and lane loads agree.
+ * Each lane gets capacity for its load and a share of the spare capacity; the short lane
+ * gets the largest share, since its waiting time matters most. Invariant: every candidate
+ * is in exactly one lane. Confined to the scheduler's thread.
  */
 final class LanePlan {
 
-	/** Parts of the spare capacity that the lanes get. */
-	private static final double[] SPARE_PARTS = { 0.6, 0.1, 0.3 };
+	/** Shares of the spare capacity, by lane. */
+	private static final double[] SPARE_SHARES = { 0.6, 0.1, 0.3 };
 
-	/** Under overload the short lane still isn't loaded above this. */
-	private static final double LARGEST_SHORT_LOAD = 0.6;
+	/** Maximum load of the short lane, even when the pool is overloaded. */
+	private static final double MAX_SHORT_LANE_LOAD = 0.6;
 
 	private final List<EndpointId> endpoints = new ArrayList<>();
 
@@ -38,21 +38,21 @@
 
 	private final int[] laneSizes = new int[Lane.values().length];
 
-	private final double[] parts = new double[Lane.values().length];
+	private final double[] capacityShares = new double[Lane.values().length];
 
 	/**
-	 * Decides anew.
+	 * Recomputes the lanes.
 	 * @param candidates the candidates
 	 * @param speeds their speeds
-	 * @param usualSpeed the speed in the middle
+	 * @param medianSpeed the median speed of the pool
 	 * @param loads the lanes' loads
 	 */
-	void update(List<Candidate> candidates, double[] speeds, double usualSpeed, LaneLoads loads) {
-		boolean changed = track(candidates);
-		if (classify(speeds, usualSpeed) || changed) {
+	void update(List<Candidate> candidates, double[] speeds, double medianSpeed, LaneLoads loads) {
+		boolean changed = trackCandidates(candidates);
+		if (updateSpeedClasses(speeds, medianSpeed) || changed) {
 			Arrays.sort(this.order, this::compare);
 		}
-		cut(speeds, loads);
+		partition(speeds, loads);
 	}
 
 	Lane lane(int index) {
@@ -60,9 +60,9 @@
 	}
 
 	/**
-	 * The place of a candidate within its lane.
+	 * Returns the rank of a candidate within its lane.
 	 * @param index the candidate's index at the last update
-	 * @return 0 for the first
+	 * @return the rank, from 0
 	 */
 	int rank(int index) {
 		return this.ranks[index];
@@ -73,19 +73,19 @@
 	}
 
 	/**
-	 * The part of the pool's capacity that a lane has.
+	 * Returns the share of the pool's capacity that a lane has.
 	 * @param lane the lane
 	 * @return from 0 to 1
 	 */
-	double part(Lane lane) {
-		return this.parts[lane.ordinal()];
+	double capacityShare(Lane lane) {
+		return this.capacityShares[lane.ordinal()];
 	}
 
 	int index(EndpointId endpoint) {
 		return this.endpoints.indexOf(endpoint);
 	}
 
-	private void cut(double[] speeds, LaneLoads loads) {
+	private void partition(double[] speeds, LaneLoads loads) {
 		int count = this.endpoints.size();
 		double total = 0;
 		for (int i = 0; i < count; i++) {
@@ -93,40 +93,41 @@
 		}
 		double spare = loads.spare();
 		double shortLoad = loads.load(Lane.SHORT);
-		double shortPart = Math.max(shortLoad + SPARE_PARTS[0] * spare, shortLoad / LARGEST_SHORT_LOAD);
-		double mediumPart = loads.load(Lane.MEDIUM) + SPARE_PARTS[1] * spare;
+		double shortShare = Math.max(shortLoad + SPARE_SHARES[0] * spare, shortLoad / MAX_SHORT_LANE_LOAD);
+		double mediumShare = loads.load(Lane.MEDIUM) + SPARE_SHARES[1] * spare;
 		Arrays.fill(this.laneSizes, 0);
-		Arrays.fill(this.parts, 0);
+		Arrays.fill(this.capacityShares, 0);
 		double before = 0;
 		for (int i = 0; i < count; i++) {
 			int next = this.order[i];
-			// An endpoint belongs to the lane in which its middle lies.
-			double middle = (before + speeds[next] / 2) / total;
+			// An endpoint belongs to the lane that contains the midpoint of its interval.
+			double midpoint = (before + speeds[next] / 2) / total;
 			before += speeds[next];
-			Lane lane = (middle < shortPart) ? Lane.SHORT : (middle < shortPart + mediumPart) ? Lane.MEDIUM : Lane.LONG;
-			put(next, place(lane, i, count), speeds[next] / total);
+			Lane lane = (midpoint < shortShare) ? Lane.SHORT
+					: (midpoint < shortShare + mediumShare) ? Lane.MEDIUM : Lane.LONG;
+			assign(next, withFixedEnds(lane, i, count), speeds[next] / total);
 		}
 	}
 
-	private static Lane place(Lane lane, int position, int count) {
+	private static Lane withFixedEnds(Lane lane, int position, int count) {
 		if (count > 1 && position == 0) {
 			return Lane.SHORT;
 		}
 		return (position == count - 1) ? Lane.LONG : lane;
 	}
 
-	private void put(int index, Lane lane, double part) {
+	private void assign(int index, Lane lane, double capacityShare) {
 		this.lanes[index] = lane;
 		this.ranks[index] = this.laneSizes[lane.ordinal()]++;
-		this.parts[lane.ordinal()] += part;
+		this.capacityShares[lane.ordinal()] += capacityShare;
 	}
 
-	private boolean track(List<Candidate> candidates) {
-		boolean same = candidates.size() == this.endpoints.size();
-		for (int i = 0; same && i < candidates.size(); i++) {
-			same = candidates.get(i).endpoint().equals(this.endpoints.get(i));
+	private boolean trackCandidates(List<Candidate> candidates) {
+		boolean unchanged = candidates.size() == this.endpoints.size();
+		for (int i = 0; unchanged && i < candidates.size(); i++) {
+			unchanged = candidates.get(i).endpoint().equals(this.endpoints.get(i));
 		}
-		if (same) {
+		if (unchanged) {
 			return false;
 		}
 		int count = candidates.size();
@@ -145,10 +146,10 @@
 		return true;
 	}
 
-	private boolean classify(double[] speeds, double usualSpeed) {
+	private boolean updateSpeedClasses(double[] speeds, double medianSpeed) {
 		boolean changed = false;
 		for (int i = 0; i < this.endpoints.size(); i++) {
-			int speedClass = LaneOrder.speedClass(speeds[i], usualSpeed);
+			int speedClass = LaneOrder.speedClass(speeds[i], medianSpeed);
 			changed |= speedClass != this.speedClasses[i];
 			this.speedClasses[i] = speedClass;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/PoolState.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/PoolState.java
@@ -8,29 +8,29 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * What the predictive policy knows of one pool of endpoints.
+ * The state that the predictive policy keeps for one pool of endpoints.
  *
  * <p>
- * The arrays hold values for the candidates of the last call. Confined to the scheduler's
- * thread.
+ * The arrays hold values for the candidates of the last update. Confined to the
+ * scheduler's thread.
  */
 final class PoolState {
 
-	private static final double ASSUMED_TOKENS_PER_SECOND = 5_000;
+	private static final double DEFAULT_TOKENS_PER_SECOND = 5_000;
 
-	/** What a short prompt finds ahead of it when it meets another. */
+	/** Prompt tokens ahead of a short prompt that collides with another short one. */
 	private static final double SHORT_COLLISION_TOKENS = 1_000;
 
-	/** Below this, priorities count as honoured. */
-	private static final double LARGEST_BLOCKED_PART = 0.2;
+	/** Below this fraction of blocked prompts, endpoints count as applying priorities. */
+	private static final double MAX_BLOCKED_FRACTION = 0.2;
 
-	private static final double REPLY_GAIN = 0.1;
+	private static final double CALL_GAIN = 0.1;
 
-	private static final double ASSUMED_STEP_SECONDS = 0.03;
+	private static final double DEFAULT_STEP_SECONDS = 0.03;
 
 	private final LaneLoads loads;
 
-	private final Blocking blocking = new Blocking();
+	private final HeadOfLineBlocking blocking = new HeadOfLineBlocking();
 
 	private final LanePlan plan = new LanePlan();
 
@@ -38,11 +38,11 @@
 
 	private double[] sorted = {};
 
-	private double usualSpeed;
+	private double medianSpeed;
 
-	private double usualStep;
+	private double meanStep;
 
-	private double replySeconds = ASSUMED_STEP_SECONDS;
+	private double callSeconds = DEFAULT_STEP_SECONDS;
 
 	PoolState(Clock clock) {
 		this.loads = new LaneLoads(clock);
@@ -57,88 +57,90 @@
 	}
 
 	/**
-	 * The time between tokens of a candidate, or the usual one if it is unknown.
+	 * Returns the time between tokens of a candidate, or the pool's mean if it is
+	 * unknown.
 	 * @param candidate the candidate
 	 * @return seconds
 	 */
 	double step(Candidate candidate) {
-		return (candidate.stepSeconds() > 0) ? candidate.stepSeconds() : this.usualStep;
+		return (candidate.stepSeconds() > 0) ? candidate.stepSeconds() : this.meanStep;
 	}
 
 	/**
-	 * The wait to expect behind prompts that the report doesn't show.
+	 * Returns the expected wait behind prompts that the endpoint's report doesn't show.
 	 * @param lane the prompt's lane
 	 * @param index the candidate
 	 * @return seconds
 	 */
-	double interference(Lane lane, int index) {
-		Lane other = this.plan.lane(index);
-		if (other.compareTo(lane) > 0) {
-			return this.blocking.part() * other.typicalTokens() / this.speeds[index];
+	double interferenceSeconds(Lane lane, int index) {
+		Lane endpointLane = this.plan.lane(index);
+		if (endpointLane.compareTo(lane) > 0) {
+			return this.blocking.blockedFraction() * endpointLane.typicalTokens() / this.speeds[index];
 		}
-		if (lane == Lane.SHORT && other == Lane.SHORT) {
-			return this.loads.load(Lane.SHORT) / Math.max(0.01, this.plan.part(Lane.SHORT)) * SHORT_COLLISION_TOKENS
-					/ this.speeds[index];
+		if (lane == Lane.SHORT && endpointLane == Lane.SHORT) {
+			return this.loads.load(Lane.SHORT) / Math.max(0.01, this.plan.capacityShare(Lane.SHORT))
+					* SHORT_COLLISION_TOKENS / this.speeds[index];
 		}
 		return 0;
 	}
 
 	/**
-	 * Whether a prompt may go to a candidate at all. Longer prompts stay away from the
-	 * endpoints of shorter ones; where priorities are honoured, medium prompts need no
-	 * endpoints of their own.
+	 * Returns whether a lane's prompts may be sent to a candidate. Longer prompts are not
+	 * sent to the endpoints of shorter ones. The exception is the medium lane, whose
+	 * endpoints also take long prompts if endpoints apply priorities, since medium
+	 * prompts then need no endpoints of their own.
 	 * @param lane the prompt's lane
 	 * @param index the candidate
-	 * @return true if it may
+	 * @return whether they may be sent there
 	 */
 	boolean admits(Lane lane, int index) {
-		Lane other = this.plan.lane(index);
-		if (other == Lane.MEDIUM && lane == Lane.LONG) {
-			return this.blocking.part() < LARGEST_BLOCKED_PART;
+		Lane endpointLane = this.plan.lane(index);
+		if (endpointLane == Lane.MEDIUM && lane == Lane.LONG) {
+			return this.blocking.blockedFraction() < MAX_BLOCKED_FRACTION;
 		}
-		return other.compareTo(lane) >= 0;
+		return endpointLane.compareTo(lane) >= 0;
 	}
 
 	/**
-	 * The part of the work ahead at an endpoint that a prompt waits for.
+	 * Returns the fraction of an endpoint's backlog that a prompt waits for.
 	 * @param lane the prompt's lane
 	 * @param index the candidate
 	 * @return from 0 to 1
 	 */
-	double blockedPart(Lane lane, int index) {
-		return (this.plan.lane(index).compareTo(lane) > 0) ? this.blocking.part() : 1;
+	double waitedFraction(Lane lane, int index) {
+		return (this.plan.lane(index).compareTo(lane) > 0) ? this.blocking.blockedFraction() : 1;
 	}
 
 	/**
-	 * How long a call of a plain service takes.
+	 * Returns the smoothed time that a call of a plain service takes.
 	 * @return seconds
 	 */
-	double replySeconds() {
-		return this.replySeconds;
+	double callSeconds() {
+		return this.callSeconds;
 	}
 
 	/**
-	 * Learns from a short prompt or a call of a plain service.
-	 * @param endpoint where it was
-	 * @param observation what was seen
+	 * Records a short prompt or a call of a plain service.
+	 * @param endpoint the endpoint it was sent to
+	 * @param observation its measurements
 	 */
-	void observed(EndpointId endpoint, Observation observation) {
+	void observe(EndpointId endpoint, Observation observation) {
 		if (observation.firstToken() == null || observation.failed()) {
 			return;
 		}
-		double taken = observation.firstToken().toNanos() / 1e9;
+		double firstToken = observation.firstToken().toNanos() / 1e9;
 		if (observation.promptTokens() == 0) {
-			this.replySeconds += REPLY_GAIN * (taken - this.replySeconds);
+			this.callSeconds += CALL_GAIN * (firstToken - this.callSeconds);
 			return;
 		}
 		int index = this.plan.index(endpoint);
 		if (index >= 0 && this.plan.lane(index) != Lane.SHORT) {
-			this.blocking.observed(taken, observation.promptTokens() / this.speeds[index], this.usualStep);
+			this.blocking.observe(firstToken, observation.promptTokens() / this.speeds[index], this.meanStep);
 		}
 	}
 
 	/**
-	 * Takes in the candidates of a call.
+	 * Updates the speeds, lanes and loads from the candidates of a decision.
 	 * @param candidates the candidates, at least one
 	 */
 	void update(List<Candidate> candidates) {
@@ -147,31 +149,31 @@
 			this.speeds = new double[count];
 			this.sorted = new double[count];
 		}
-		learnUsual(candidates);
+		updateDefaults(candidates);
 		for (int i = 0; i < count; i++) {
 			double speed = candidates.get(i).prefillTokensPerSecond();
-			this.speeds[i] = (speed > 0) ? speed : this.usualSpeed;
+			this.speeds[i] = (speed > 0) ? speed : this.medianSpeed;
 		}
-		this.plan.update(candidates, this.speeds, this.usualSpeed, this.loads);
-		this.loads.seen(candidates, this.speeds, this.plan);
+		this.plan.update(candidates, this.speeds, this.medianSpeed, this.loads);
+		this.loads.update(candidates, this.speeds, this.plan);
 	}
 
-	private void learnUsual(List<Candidate> candidates) {
-		int learnt = 0;
-		double steps = 0;
-		int stepsLearnt = 0;
+	private void updateDefaults(List<Candidate> candidates) {
+		int knownSpeeds = 0;
+		double stepSum = 0;
+		int knownSteps = 0;
 		for (Candidate candidate : candidates) {
 			if (candidate.prefillTokensPerSecond() > 0) {
-				this.sorted[learnt++] = candidate.prefillTokensPerSecond();
+				this.sorted[knownSpeeds++] = candidate.prefillTokensPerSecond();
 			}
 			if (candidate.stepSeconds() > 0) {
-				steps += candidate.stepSeconds();
-				stepsLearnt++;
+				stepSum += candidate.stepSeconds();
+				knownSteps++;
 			}
 		}
-		Arrays.sort(this.sorted, 0, learnt);
-		this.usualSpeed = (learnt > 0) ? this.sorted[learnt / 2] : ASSUMED_TOKENS_PER_SECOND;
-		this.usualStep = (stepsLearnt > 0) ? steps / stepsLearnt : ASSUMED_STEP_SECONDS;
+		Arrays.sort(this.sorted, 0, knownSpeeds);
+		this.medianSpeed = (knownSpeeds > 0) ? this.sorted[knownSpeeds / 2] : DEFAULT_TOKENS_PER_SECOND;
+		this.meanStep = (knownSteps > 0) ? stepSum / knownSteps : DEFAULT_STEP_SECONDS;
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/PredictivePolicy.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/PredictivePolicy.java
@@ -12,13 +12,13 @@
 
 /**
  * Chooses the endpoint with the earliest predicted first token, and keeps prompts of
- * unlike lengths on different endpoints.
+ * different lengths on different endpoints.
  *
  * <p>
- * Invariants: a candidate without room in its grant is never chosen; a choice that waits
+ * Invariants: a candidate without room in its grant is never chosen; a choice to wait
  * still carries the prediction for the best candidate, so that admission can compare it
- * with the deadline. Candidates that share an endpoint belong to one pool. Confined to
- * the scheduler's thread.
+ * with the deadline. Lists of candidates that have an endpoint in common belong to one
+ * pool. Confined to the scheduler's thread.
  */
 public final class PredictivePolicy implements RoutingPolicy {
 
@@ -32,7 +32,7 @@
 
 	private final Map<EndpointId, PoolState> pools = new HashMap<>();
 
-	private final PrefixMemory prefixes = new PrefixMemory();
+	private final PrefixCacheTracker prefixes = new PrefixCacheTracker();
 
 	private PredictivePolicy(Builder builder) {
 		this.clock = builder.clock;
@@ -40,7 +40,7 @@
 		this.lanes = builder.lanes;
 		this.queueing = builder.queueing;
 		if (builder.speeds != null) {
-			builder.speeds.onObserved(this::observed);
+			builder.speeds.onObserved(this::observe);
 		}
 	}
 
@@ -66,22 +66,22 @@
 				soonest = i;
 				soonestScore = score;
 			}
-			if (score < bestScore && decision.open(i, this.lanes, this.queueing)) {
+			if (score < bestScore && decision.eligible(i, this.lanes, this.queueing)) {
 				best = i;
 				bestScore = score;
 			}
 		}
 		RoutingChoice choice = decision.choice(best, (best >= 0) ? best : soonest);
 		if (best >= 0) {
-			this.prefixes.sent(request.prefix(), candidates.get(best).endpoint(), request.promptTokens());
+			this.prefixes.recordSent(request.prefix(), candidates.get(best).endpoint(), request.promptTokens());
 		}
 		return choice;
 	}
 
-	private void observed(EndpointId endpoint, Observation observation) {
+	private void observe(EndpointId endpoint, Observation observation) {
 		PoolState pool = this.pools.get(endpoint);
 		if (pool != null && Lane.of(observation.promptTokens()) == Lane.SHORT) {
-			pool.observed(endpoint, observation);
+			pool.observe(endpoint, observation);
 		}
 	}
 
@@ -117,9 +117,9 @@
 		}
 
 		/**
-		 * Sets where this entry stands among the entries, so that entries prefer
-		 * different endpoints among equals.
-		 * @param supplier supplies the position in the sorted list of entries, from 0
+		 * Sets the position of this daemon among all daemons, so that daemons prefer
+		 * different ones of equally good endpoints.
+		 * @param supplier supplies the position in the sorted list of daemons, from 0
 		 * @return this builder
 		 */
 		public Builder position(IntSupplier supplier) {
@@ -128,9 +128,9 @@
 		}
 
 		/**
-		 * Sets where observations come from, to learn whether the endpoints honour
-		 * priorities.
-		 * @param learner the entry's learner of speeds
+		 * Sets the source of observations, from which the policy estimates whether the
+		 * endpoints apply priorities.
+		 * @param learner the daemon's speed learner
 		 * @return this builder
 		 */
 		public Builder speeds(SpeedLearner learner) {
@@ -139,8 +139,8 @@
 		}
 
 		/**
-		 * Sets whether prompts of unlike lengths are kept on different endpoints.
-		 * @param on true to keep them apart
+		 * Sets whether prompts of different lengths are kept on different endpoints.
+		 * @param on whether to use lanes
 		 * @return this builder
 		 */
 		public Builder lanes(boolean on) {
@@ -149,8 +149,8 @@
 		}
 
 		/**
-		 * Sets whether longer prompts wait at the entry rather than at a busy endpoint.
-		 * @param on true to wait at the entry
+		 * Sets whether longer prompts wait at the daemon rather than at a busy endpoint.
+		 * @param on whether to queue at the daemon
 		 * @return this builder
 		 */
 		public Builder queueing(boolean on) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/RecentPeak.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/RecentPeak.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * The second highest of the last samples: a lower bound that is nearly reached, with one
- * wild sample left out.
+ * The second highest of the most recent samples, as a peak estimate that ignores one
+ * outlier.
  *
  * <p>
  * Not safe for use by multiple threads.
@@ -24,8 +24,9 @@
 	}
 
 	/**
-	 * The estimate.
-	 * @return 0 before the first sample
+	 * Returns the estimate.
+	 * @return the second highest sample, the only one if there is one, or 0 if there is
+	 * none
 	 */
 	double value() {
 		return this.value;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/RoutingChoice.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/RoutingChoice.java
@@ -1,11 +1,11 @@
 package org.bramleyscale.internal.routing;
 
 /**
- * A routing decision.
+ * The result of a routing decision.
  *
  * @param index the chosen candidate's index, or -1 if the request should wait
- * @param predictedFirstTokenNanos predicted time to the first token there
- * @param predictedFinishNanos predicted time to the last token there
+ * @param predictedFirstTokenNanos predicted time to the first token
+ * @param predictedFinishNanos predicted time to the last token
  */
 public record RoutingChoice(int index, long predictedFirstTokenNanos, long predictedFinishNanos) {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/RoutingMessages.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/RoutingMessages.java
@@ -3,7 +3,7 @@
 import org.bramleyscale.internal.peer.MessageCatalog;
 
 /**
- * The peer messages of this slice and their codes, from 75 to 79.
+ * The peer messages of routing and their codes, from 75 to 79.
  */
 public final class RoutingMessages {
 
@@ -13,8 +13,8 @@
 	}
 
 	/**
-	 * Enters the messages.
-	 * @param catalog the catalog to enter them in
+	 * Registers the messages.
+	 * @param catalog the catalog to register them in
 	 */
 	public static void register(MessageCatalog.Builder catalog) {
 		catalog.add(SPEED_DIGEST, SpeedDigest.class);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/RoutingPolicy.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/RoutingPolicy.java
@@ -18,7 +18,7 @@
 	 * @param request the request
 	 * @param candidates the candidates; those without room in their grant must not be
 	 * chosen
-	 * @param random the only source of chance
+	 * @param random the only source of randomness
 	 * @return the choice
 	 */
 	RoutingChoice choose(RoutingRequest request, List<Candidate> candidates, RandomGenerator random);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/RoutingRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/RoutingRequest.java
@@ -1,15 +1,15 @@
 package org.bramleyscale.internal.routing;
 
 /**
- * What matters of a request for a routing decision.
+ * The properties of a request that routing decisions depend on.
  *
  * @param promptTokens estimated tokens of the prompt
- * @param maxTokens the largest number of answer tokens
- * @param prefix hash of the prompt's beginning; equal for prompts that share it; 0 if
- * none
- * @param prefixTokens estimated tokens of that beginning
+ * @param maxTokens the maximum number of answer tokens
+ * @param prefix hash of the prompt's prefix, equal for prompts that share the prefix; 0
+ * if there is none
+ * @param prefixTokens estimated tokens of the prefix
  * @param urgent whether the service is urgent
- * @param timeLeftNanos how long it may still take
+ * @param timeLeftNanos time left until the request's deadline
  */
 public record RoutingRequest(int promptTokens, int maxTokens, long prefix, int prefixTokens, boolean urgent,
 		long timeLeftNanos) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedDigest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedDigest.java
@@ -5,11 +5,11 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * The speeds that the sending entry measured itself.
+ * The prefill speeds that the sending daemon measured itself.
  *
  * @param endpoints the endpoints' names
- * @param tokensPerSecond for each endpoint, the measured speed of prompt computation
- * @param samples for each endpoint, how many recent measurements it rests on
+ * @param tokensPerSecond for each endpoint, the measured prefill speed
+ * @param samples for each endpoint, the number of recent samples the speed is based on
  */
 public record SpeedDigest(List<String> endpoints, List<Double> tokensPerSecond,
 		List<Integer> samples) implements PeerMessage {
@@ -19,7 +19,7 @@
 		tokensPerSecond = List.copyOf(tokensPerSecond);
 		samples = List.copyOf(samples);
 		if (endpoints.size() != tokensPerSecond.size() || endpoints.size() != samples.size()) {
-			throw new IllegalArgumentException("a speed digest holds " + endpoints.size() + " endpoints but "
+			throw new IllegalArgumentException("a speed digest has " + endpoints.size() + " endpoints but "
 					+ tokensPerSecond.size() + " speeds and " + samples.size() + " sample counts");
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedExchange.java
@@ -13,21 +13,21 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Tells other entries, one after another, which speeds this entry measured.
+ * Sends digests of the speeds that this daemon measured to the other daemons in turn.
  *
  * <p>
- * Entries that disagree about speeds cut the lanes differently: one sends a manual where
- * another sends its questions. The symptom is a p95 time to first token of short prompts
- * of seconds on engines of unequal speed. With the others' measurements all entries
- * reckon with about the same speeds, and a new entry needn't learn them alone. Invariant:
- * what an entry told is forgotten some time after it fell silent. Confined to the
- * scheduler's thread.
+ * Daemons whose estimates of speeds differ partition the lanes differently, so that one
+ * sends long prompts to endpoints to which another sends short ones. The symptom is a p95
+ * time to first token of short prompts of seconds on engines of unequal speed. With the
+ * measurements of the others, all daemons use about the same speeds, and a new daemon
+ * doesn't have to learn them alone. Invariant: the digest of a daemon that sends no
+ * further ones is removed after a fixed time. Confined to the scheduler's thread.
  */
 public final class SpeedExchange {
 
-	private static final Duration SHORTEST_PAUSE = Duration.ofSeconds(2);
+	private static final Duration MIN_INTERVAL = Duration.ofSeconds(2);
 
-	private static final Duration FORGET_AFTER = Duration.ofMinutes(3);
+	private static final Duration DIGEST_LIFETIME = Duration.ofMinutes(3);
 
 	private static final int BYTES_PER_ENDPOINT = 30;
 
@@ -41,9 +41,9 @@
 
 	private final SpeedLearner speeds;
 
-	private final Map<VmId, Long> heard = new HashMap<>();
+	private final Map<VmId, Long> lastReceived = new HashMap<>();
 
-	private int turn;
+	private int recipientOffset;
 
 	public SpeedExchange(Scheduler scheduler, MembershipView membership, PeerNetwork network, SpeedLearner speeds) {
 		this.scheduler = scheduler;
@@ -51,47 +51,47 @@
 		this.network = network;
 		this.speeds = speeds;
 		network.listen(SpeedDigest.class, this::received);
-		scheduler.schedule(SHORTEST_PAUSE, this::round);
+		scheduler.schedule(MIN_INTERVAL, this::sendDigest);
 	}
 
-	private void round() {
-		forgetSilent();
+	private void sendDigest() {
+		removeExpired();
 		SpeedDigest digest = this.speeds.digest();
 		List<Member> members = this.membership.eligible();
 		if (members.size() > 1 && !digest.endpoints().isEmpty()) {
-			this.network.send(next(members), digest);
+			this.network.send(nextRecipient(members), digest);
 		}
-		Duration affordable = Duration
+		Duration interval = Duration
 			.ofMillis(1_000L * digest.endpoints().size() * BYTES_PER_ENDPOINT / BYTES_PER_SECOND);
-		this.scheduler.schedule((affordable.compareTo(SHORTEST_PAUSE) > 0) ? affordable : SHORTEST_PAUSE, this::round);
+		this.scheduler.schedule((interval.compareTo(MIN_INTERVAL) > 0) ? interval : MIN_INTERVAL, this::sendDigest);
 	}
 
-	// Counting from this entry's own place, entries don't all tell the same one at a
-	// time.
-	private VmId next(List<Member> members) {
+	// Offsets count from this daemon's own index, so that the daemons don't all send to
+	// the same recipient at a time.
+	private VmId nextRecipient(List<Member> members) {
 		int self = 0;
 		for (int i = 0; i < members.size(); i++) {
 			if (members.get(i).vm().equals(this.membership.self().vm())) {
 				self = i;
 			}
 		}
-		this.turn = this.turn % (members.size() - 1) + 1;
-		return members.get((self + this.turn) % members.size()).vm();
+		this.recipientOffset = this.recipientOffset % (members.size() - 1) + 1;
+		return members.get((self + this.recipientOffset) % members.size()).vm();
 	}
 
 	private void received(Incarnation from, SpeedDigest digest) {
-		this.heard.put(from.vm(), this.scheduler.nanos());
-		this.speeds.heard(from.vm(), digest);
+		this.lastReceived.put(from.vm(), this.scheduler.nanos());
+		this.speeds.replaceDigest(from.vm(), digest);
 	}
 
-	private void forgetSilent() {
-		long oldest = this.scheduler.nanos() - FORGET_AFTER.toNanos();
-		this.heard.entrySet().removeIf((entry) -> {
-			boolean silent = entry.getValue() < oldest;
-			if (silent) {
-				this.speeds.forget(entry.getKey());
+	private void removeExpired() {
+		long oldest = this.scheduler.nanos() - DIGEST_LIFETIME.toNanos();
+		this.lastReceived.entrySet().removeIf((entry) -> {
+			boolean expired = entry.getValue() < oldest;
+			if (expired) {
+				this.speeds.removeDigest(entry.getKey());
 			}
-			return silent;
+			return expired;
 		});
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedLearner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedLearner.java
@@ -13,49 +13,52 @@
 import org.bramleyscale.internal.endpoint.Observation;
 
 /**
- * Learns how fast each endpoint computes prompts and how long it takes between tokens.
+ * Estimates the prefill speed and the time between tokens of each endpoint.
  *
  * <p>
- * Nobody configures these figures, so they are estimated from finished attempts. A time
- * to first token contains the wait behind other prompts, so tokens over time is at most
- * the speed: the estimate is a high one of the recent samples. With few samples it leans
- * on the usual speed of all endpoints, else one prompt that met a busy endpoint would
- * mark it as slow and nobody would try it again. Invariant: an estimate is 0 until the
- * first usable observation and positive and finite afterwards. Confined to the
- * scheduler's thread.
+ * These figures aren't configured, so they are estimated from completed attempts. The
+ * time to first token includes the wait behind other prompts, so prompt tokens divided by
+ * it is a lower bound of the speed, and the estimate is a high value among the recent
+ * samples. With few samples it is weighted with the median speed of all endpoints;
+ * otherwise one prompt sent to a busy endpoint would mark the endpoint as slow, and no
+ * further prompts would be sent there to correct the estimate. Invariant: an estimate is
+ * 0 until the first usable observation and positive and finite afterwards. Confined to
+ * the scheduler's thread.
  */
 public final class SpeedLearner {
 
-	private static final double SLOWEST_TOKENS_PER_SECOND = 1;
+	private static final double MIN_TOKENS_PER_SECOND = 1;
 
-	private static final double FASTEST_TOKENS_PER_SECOND = 1e8;
+	private static final double MAX_TOKENS_PER_SECOND = 1e8;
 
-	private static final double SHORTEST_STEP_SECONDS = 1e-6;
+	private static final double MIN_STEP_SECONDS = 1e-6;
 
-	private static final double LONGEST_STEP_SECONDS = 60;
+	private static final double MAX_STEP_SECONDS = 60;
 
 	private static final double STEP_GAIN = 0.1;
 
-	/** Prompts below this say more about fixed costs than about speed. */
-	private static final int SMALLEST_PROMPT_TOKENS = 64;
+	/** The times of smaller prompts depend more on fixed costs than on speed. */
+	private static final int MIN_PROMPT_TOKENS = 64;
 
-	/** Largest part of a time to first token that is put down to the fixed cost. */
-	private static final double LARGEST_FIXED_PART = 0.5;
+	/** Maximum fraction of a time to first token that is attributed to fixed costs. */
+	private static final double MAX_FIXED_COST_FRACTION = 0.5;
 
-	/** A prompt expected to wait for longer than it computes says little. */
-	private static final double SMALLEST_OWN_PART = 0.5;
+	/**
+	 * Samples in which prefill is a smaller fraction of the predicted time are ignored.
+	 */
+	private static final double MIN_PREFILL_FRACTION = 0.5;
 
-	/** How many samples the usual speed counts for. */
+	/** The weight of the median speed, in samples. */
 	private static final double PRIOR_SAMPLES = 3;
 
-	private final Map<EndpointId, Speeds> speeds = new HashMap<>();
+	private final Map<EndpointId, EndpointSpeeds> speeds = new HashMap<>();
 
 	private final List<BiConsumer<EndpointId, Observation>> listeners = new ArrayList<>();
 
-	private double usual;
+	private double medianSpeed;
 
 	/**
-	 * Adds a listener called with each observation.
+	 * Adds a listener that is called with each observation.
 	 * @param listener the listener
 	 */
 	public void onObserved(BiConsumer<EndpointId, Observation> listener) {
@@ -63,43 +66,43 @@
 	}
 
 	/**
-	 * Learns from one attempt.
+	 * Records an attempt.
 	 * @param endpoint the endpoint
-	 * @param observation what was seen
+	 * @param observation the measurements of the attempt
 	 */
 	public void observe(EndpointId endpoint, Observation observation) {
 		this.listeners.forEach((listener) -> listener.accept(endpoint, observation));
 		if (observation.failed()) {
 			return;
 		}
-		Speeds known = this.speeds.computeIfAbsent(endpoint, (id) -> new Speeds());
+		EndpointSpeeds known = this.speeds.computeIfAbsent(endpoint, (id) -> new EndpointSpeeds());
 		learnStep(known, observation);
 		learnPrefill(known, observation);
 	}
 
 	/**
-	 * The learnt speed of prompt computation.
+	 * Returns the estimated prefill speed.
 	 * @param endpoint the endpoint
-	 * @return tokens a second, or 0 if unknown
+	 * @return tokens per second, or 0 if unknown
 	 */
 	public double prefillTokensPerSecond(EndpointId endpoint) {
-		Speeds known = this.speeds.get(endpoint);
-		return (known != null) ? known.estimate(this.usual) : 0;
+		EndpointSpeeds known = this.speeds.get(endpoint);
+		return (known != null) ? known.estimate(this.medianSpeed) : 0;
 	}
 
 	/**
-	 * The learnt time between tokens.
+	 * Returns the estimated time between tokens.
 	 * @param endpoint the endpoint
 	 * @return seconds, or 0 if unknown
 	 */
 	public double stepSeconds(EndpointId endpoint) {
-		Speeds known = this.speeds.get(endpoint);
+		EndpointSpeeds known = this.speeds.get(endpoint);
 		return (known != null) ? known.stepSeconds : 0;
 	}
 
 	/**
-	 * What this entry measured itself.
-	 * @return the digest for other entries
+	 * Returns the measurements of this daemon itself.
+	 * @return the digest for other daemons
 	 */
 	SpeedDigest digest() {
 		List<String> endpoints = new ArrayList<>();
@@ -116,84 +119,84 @@
 	}
 
 	/**
-	 * Takes in what another entry measured, in place of what it told before.
-	 * @param from the entry
+	 * Replaces the measurements of another daemon.
+	 * @param from the daemon
 	 * @param digest its measurements
 	 */
-	void heard(VmId from, SpeedDigest digest) {
-		forget(from);
+	void replaceDigest(VmId from, SpeedDigest digest) {
+		removeDigest(from);
 		for (int i = 0; i < digest.endpoints().size(); i++) {
 			double speed = digest.tokensPerSecond().get(i);
-			if (speed >= SLOWEST_TOKENS_PER_SECOND && speed <= FASTEST_TOKENS_PER_SECOND) {
-				Speeds known = this.speeds.computeIfAbsent(new EndpointId(digest.endpoints().get(i)),
-						(id) -> new Speeds());
-				known.others.put(from, new Measurement(speed, digest.samples().get(i)));
+			if (speed >= MIN_TOKENS_PER_SECOND && speed <= MAX_TOKENS_PER_SECOND) {
+				EndpointSpeeds known = this.speeds.computeIfAbsent(new EndpointId(digest.endpoints().get(i)),
+						(id) -> new EndpointSpeeds());
+				known.remote.put(from, new Measurement(speed, digest.samples().get(i)));
 			}
 		}
-		changed();
+		updateMedian();
 	}
 
 	/**
-	 * Forgets what another entry told.
-	 * @param from the entry
+	 * Removes the measurements of another daemon.
+	 * @param from the daemon
 	 */
-	void forget(VmId from) {
-		this.speeds.values().forEach((known) -> known.others.remove(from));
-		changed();
+	void removeDigest(VmId from) {
+		this.speeds.values().forEach((known) -> known.remote.remove(from));
+		updateMedian();
 	}
 
 	/**
-	 * Forgets all other endpoints.
+	 * Removes the estimates of all other endpoints.
 	 * @param endpoints the endpoints that still exist
 	 */
 	public void retain(Collection<EndpointId> endpoints) {
 		this.speeds.keySet().retainAll(endpoints);
 	}
 
-	private static void learnStep(Speeds known, Observation observation) {
+	private static void learnStep(EndpointSpeeds known, Observation observation) {
 		Duration streaming = observation.streaming();
 		if (streaming == null || observation.answerTokens() < 2) {
 			return;
 		}
 		double sample = seconds(streaming) / (observation.answerTokens() - 1);
-		double bounded = Math.max(SHORTEST_STEP_SECONDS, Math.min(LONGEST_STEP_SECONDS, sample));
+		double bounded = Math.max(MIN_STEP_SECONDS, Math.min(MAX_STEP_SECONDS, sample));
 		if (known.stepSeconds == 0) {
 			known.stepSeconds = bounded;
 		}
 		known.stepSeconds *= Math.exp(STEP_GAIN * Math.log(bounded / known.stepSeconds));
 	}
 
-	private void learnPrefill(Speeds known, Observation observation) {
+	private void learnPrefill(EndpointSpeeds known, Observation observation) {
 		Duration firstToken = observation.firstToken();
-		if (firstToken == null || observation.promptTokens() < SMALLEST_PROMPT_TOKENS) {
+		if (firstToken == null || observation.promptTokens() < MIN_PROMPT_TOKENS) {
 			return;
 		}
-		double taken = seconds(firstToken);
-		double computing = taken - Math.min(known.stepSeconds, taken * LARGEST_FIXED_PART);
-		double rate = observation.promptTokens() / computing;
-		if (known.prefill.count() > 0 && expectedToWait(known, observation)) {
+		double total = seconds(firstToken);
+		double prefill = total - Math.min(known.stepSeconds, total * MAX_FIXED_COST_FRACTION);
+		double rate = observation.promptTokens() / prefill;
+		if (known.prefill.count() > 0 && mostlyQueueing(known, observation)) {
 			return;
 		}
-		known.prefill.add(Math.max(SLOWEST_TOKENS_PER_SECOND, Math.min(FASTEST_TOKENS_PER_SECOND, rate)));
-		changed();
+		known.prefill.add(Math.max(MIN_TOKENS_PER_SECOND, Math.min(MAX_TOKENS_PER_SECOND, rate)));
+		updateMedian();
 	}
 
-	private static boolean expectedToWait(Speeds known, Observation observation) {
+	private static boolean mostlyQueueing(EndpointSpeeds known, Observation observation) {
 		if (observation.predictedFirstToken() == null) {
 			return false;
 		}
-		double own = observation.promptTokens() / known.prefill.value();
-		return own < SMALLEST_OWN_PART * seconds(observation.predictedFirstToken());
+		double prefill = observation.promptTokens() / known.prefill.value();
+		return prefill < MIN_PREFILL_FRACTION * seconds(observation.predictedFirstToken());
 	}
 
-	private void changed() {
+	private void updateMedian() {
 		double[] values = this.speeds.values()
 			.stream()
 			.mapToDouble((known) -> known.measured())
 			.filter((value) -> value > 0)
 			.sorted()
 			.toArray();
-		this.usual = (values.length > 0) ? values[values.length / 2] : 0;
+		this.medianSpeed = (values.length > 0) ? values[values.length / 2] : 0;
 	}
 
 	private static double seconds(Duration duration) {
@@ -201,41 +204,41 @@
 	}
 
 	/**
-	 * What another entry measured.
+	 * The speed of an endpoint as measured by another daemon.
 	 *
 	 * @param tokensPerSecond the speed
-	 * @param samples how many recent measurements it rests on
+	 * @param samples the number of recent samples it is based on
 	 */
 	private record Measurement(double tokensPerSecond, int samples) {
 	}
 
 	/**
-	 * What is known of one endpoint.
+	 * The measurements of one endpoint.
 	 */
-	private static final class Speeds {
+	private static final class EndpointSpeeds {
 
 		private final RecentPeak prefill = new RecentPeak();
 
-		private final Map<VmId, Measurement> others = new HashMap<>();
+		private final Map<VmId, Measurement> remote = new HashMap<>();
 
 		private double stepSeconds;
 
 		double measured() {
-			return combined(0, 1);
+			return weightedMean(0, 1);
 		}
 
-		double estimate(double usualSpeed) {
-			return (measured() > 0) ? combined(PRIOR_SAMPLES, usualSpeed) : 0;
+		double estimate(double priorSpeed) {
+			return (measured() > 0) ? weightedMean(PRIOR_SAMPLES, priorSpeed) : 0;
 		}
 
 		// The mean of the logarithms, weighted by samples.
-		private double combined(double priorSamples, double priorSpeed) {
+		private double weightedMean(double priorSamples, double priorSpeed) {
 			double weights = priorSamples + this.prefill.count();
 			double sum = priorSamples * Math.log(priorSpeed);
 			if (this.prefill.count() > 0) {
 				sum += this.prefill.count() * Math.log(this.prefill.value());
 			}
-			for (Measurement other : this.others.values()) {
+			for (Measurement other : this.remote.values()) {
 				weights += other.samples();
 				sum += other.samples() * Math.log(other.tokensPerSecond());
 			}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/Baselines.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/Baselines.java
@@ -10,7 +10,7 @@
 import org.bramleyscale.internal.routing.RoutingRequest;
 
 /**
- * What the simple policies share. Stateless.
+ * Operations that the baseline policies share. Stateless.
  */
 final class Baselines {
 
@@ -26,28 +26,29 @@
 	}
 
 	/**
-	 * Chooses the candidate with room and the least load, at random among equals.
+	 * Chooses the candidate with room in its grant and the least load, at random among
+	 * equally loaded ones.
 	 * @param request the request
 	 * @param candidates the candidates
-	 * @param load the load
-	 * @param random the source of chance
-	 * @return the index, or -1
+	 * @param load returns the load of a candidate
+	 * @param random the source of randomness
+	 * @return the index, or -1 if no candidate has room
 	 */
-	static int least(RoutingRequest request, List<Candidate> candidates, ToDoubleFunction<Candidate> load,
+	static int leastLoaded(RoutingRequest request, List<Candidate> candidates, ToDoubleFunction<Candidate> load,
 			RandomGenerator random) {
 		int best = -1;
-		int equals = 0;
+		int ties = 0;
 		double least = Double.POSITIVE_INFINITY;
 		for (int i = 0; i < candidates.size(); i++) {
 			if (!hasRoom(request, candidates.get(i))) {
 				continue;
 			}
-			double value = load.applyAsDouble(candidates.get(i));
-			if (value < least) {
-				least = value;
-				equals = 0;
+			double candidateLoad = load.applyAsDouble(candidates.get(i));
+			if (candidateLoad < least) {
+				least = candidateLoad;
+				ties = 0;
 			}
-			if (value == least && random.nextInt(++equals) == 0) {
+			if (candidateLoad == least && random.nextInt(++ties) == 0) {
 				best = i;
 			}
 		}
@@ -55,22 +56,23 @@
 	}
 
 	static int random(RoutingRequest request, List<Candidate> candidates, RandomGenerator random) {
-		return least(request, candidates, (candidate) -> 0, random);
+		return leastLoaded(request, candidates, (candidate) -> 0, random);
 	}
 
 	/**
-	 * The candidate that rendezvous hashing gives to a prefix.
+	 * Chooses a candidate for a prefix by rendezvous hashing.
 	 * @param request the request
 	 * @param candidates the candidates
-	 * @param without an index to leave out, or -1
-	 * @return the index of the candidate with room and the highest hash, or -1
+	 * @param excluded an index to exclude, or -1
+	 * @return the index of the candidate with room and the highest hash, or -1 if there
+	 * is none
 	 */
-	static int home(RoutingRequest request, List<Candidate> candidates, int without) {
+	static int highestHash(RoutingRequest request, List<Candidate> candidates, int excluded) {
 		int best = -1;
 		long highest = Long.MIN_VALUE;
 		for (int i = 0; i < candidates.size(); i++) {
 			long hash = hash(request.prefix(), candidates.get(i));
-			if (i != without && hasRoom(request, candidates.get(i)) && (best < 0 || hash > highest)) {
+			if (i != excluded && hasRoom(request, candidates.get(i)) && (best < 0 || hash > highest)) {
 				best = i;
 				highest = hash;
 			}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/LeastInFlightPolicy.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/LeastInFlightPolicy.java
@@ -9,13 +9,13 @@
 import org.bramleyscale.internal.routing.RoutingRequest;
 
 /**
- * Chooses the candidate with the fewest requests of this entry in flight. Stateless.
+ * Chooses the candidate with the fewest in-flight requests of this daemon. Stateless.
  */
 public final class LeastInFlightPolicy implements RoutingPolicy {
 
 	@Override
 	public RoutingChoice choose(RoutingRequest request, List<Candidate> candidates, RandomGenerator random) {
-		return Baselines.choice(Baselines.least(request, candidates, Candidate::ownInFlight, random));
+		return Baselines.choice(Baselines.leastLoaded(request, candidates, Candidate::ownInFlight, random));
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/PrefixHomePolicy.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/PrefixHomePolicy.java
@@ -9,7 +9,8 @@
 import org.bramleyscale.internal.routing.RoutingRequest;
 
 /**
- * Sends prompts with the same prefix to one hashed home; others anywhere. Stateless.
+ * Sends prompts with the same prefix to one candidate selected by hash, and others to a
+ * random candidate. Stateless.
  */
 public final class PrefixHomePolicy implements RoutingPolicy {
 
@@ -18,7 +19,7 @@
 		if (request.prefix() == 0) {
 			return Baselines.choice(Baselines.random(request, candidates, random));
 		}
-		return Baselines.choice(Baselines.home(request, candidates, -1));
+		return Baselines.choice(Baselines.highestHash(request, candidates, -1));
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/RandomPolicy.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/RandomPolicy.java
@@ -9,7 +9,7 @@
 import org.bramleyscale.internal.routing.RoutingRequest;
 
 /**
- * Chooses any candidate with room. Stateless.
+ * Chooses a random candidate with room in its grant. Stateless.
  */
 public final class RandomPolicy implements RoutingPolicy {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/RoundRobinPolicy.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/RoundRobinPolicy.java
@@ -13,14 +13,14 @@
  */
 public final class RoundRobinPolicy implements RoutingPolicy {
 
-	private int turn;
+	private int nextIndex;
 
 	@Override
 	public RoutingChoice choose(RoutingRequest request, List<Candidate> candidates, RandomGenerator random) {
 		for (int i = 0; i < candidates.size(); i++) {
-			int index = (this.turn + i) % candidates.size();
+			int index = (this.nextIndex + i) % candidates.size();
 			if (Baselines.hasRoom(request, candidates.get(index))) {
-				this.turn = index + 1;
+				this.nextIndex = index + 1;
 				return Baselines.choice(index);
 			}
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/TwoChoicesPolicy.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/TwoChoicesPolicy.java
@@ -10,28 +10,29 @@
 import org.bramleyscale.internal.routing.RoutingRequest;
 
 /**
- * Draws two candidates and chooses the one with fewer requests by its report. Stateless.
+ * Draws two random candidates and chooses the one whose report shows fewer requests.
+ * Stateless.
  */
 public final class TwoChoicesPolicy implements RoutingPolicy {
 
 	@Override
 	public RoutingChoice choose(RoutingRequest request, List<Candidate> candidates, RandomGenerator random) {
-		List<Integer> open = new ArrayList<>();
+		List<Integer> eligible = new ArrayList<>();
 		for (int i = 0; i < candidates.size(); i++) {
 			if (Baselines.hasRoom(request, candidates.get(i))) {
-				open.add(i);
+				eligible.add(i);
 			}
 		}
-		if (open.isEmpty()) {
+		if (eligible.isEmpty()) {
 			return RoutingChoice.WAIT;
 		}
-		int first = open.remove(random.nextInt(open.size()));
-		if (open.isEmpty()) {
+		int first = eligible.remove(random.nextInt(eligible.size()));
+		if (eligible.isEmpty()) {
 			return Baselines.choice(first);
 		}
-		int second = open.get(random.nextInt(open.size()));
-		boolean firstIsLess = load(candidates.get(first)) <= load(candidates.get(second));
-		return Baselines.choice(firstIsLess ? first : second);
+		int second = eligible.get(random.nextInt(eligible.size()));
+		boolean firstLessLoaded = load(candidates.get(first)) <= load(candidates.get(second));
+		return Baselines.choice(firstLessLoaded ? first : second);
 	}
 
 	private static int load(Candidate candidate) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/TwoHashedPolicy.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/TwoHashedPolicy.java
@@ -9,8 +9,8 @@
 import org.bramleyscale.internal.routing.RoutingRequest;
 
 /**
- * Sends prompts with the same prefix to the less loaded of two hashed candidates; others
- * to the less loaded of two random ones. Stateless.
+ * Sends prompts with the same prefix to the less loaded of two candidates selected by
+ * hash, and others to the less loaded of two random candidates. Stateless.
  */
 public final class TwoHashedPolicy implements RoutingPolicy {
 
@@ -21,13 +21,13 @@
 		if (request.prefix() == 0) {
 			return this.withoutPrefix.choose(request, candidates, random);
 		}
-		int first = Baselines.home(request, candidates, -1);
+		int first = Baselines.highestHash(request, candidates, -1);
 		if (first < 0) {
 			return RoutingChoice.WAIT;
 		}
-		int second = Baselines.home(request, candidates, first);
-		boolean firstIsLess = second < 0 || load(candidates.get(first)) <= load(candidates.get(second));
-		return Baselines.choice(firstIsLess ? first : second);
+		int second = Baselines.highestHash(request, candidates, first);
+		boolean firstLessLoaded = second < 0 || load(candidates.get(first)) <= load(candidates.get(second));
+		return Baselines.choice(firstLessLoaded ? first : second);
 	}
 
 	private static long load(Candidate candidate) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Simple policies to measure the real one against.
+ * Simple policies that serve as baselines for the predictive policy in benchmarks.
  */
 package org.bramleyscale.internal.routing.baseline;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which endpoint a request goes to.
+ * Selection of the endpoint that a request is sent to.
  */
 package org.bramleyscale.internal.routing;
