--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AccountDemand.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AccountDemand.java
@@ -5,10 +5,11 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * What client accounts lately asked of the sending entry, told to their home entry.
+ * The recent demand of client accounts at the sending daemon, sent to the accounts' home
+ * daemon.
  *
  * @param accounts the accounts
- * @param tokensPerSecond for each account, the tokens a second asked for
+ * @param tokensPerSecond for each account, the tokens requested per second
  */
 public record AccountDemand(List<String> accounts, List<Double> tokensPerSecond) implements PeerMessage {
 
@@ -17,7 +18,7 @@
 		tokensPerSecond = List.copyOf(tokensPerSecond);
 		if (accounts.size() != tokensPerSecond.size()) {
 			throw new IllegalArgumentException(
-					accounts.size() + " accounts but " + tokensPerSecond.size() + " rates in a demand");
+					"an account demand has " + accounts.size() + " accounts but " + tokensPerSecond.size() + " rates");
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AccountLimits.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AccountLimits.java
@@ -10,39 +10,39 @@
 import org.bramleyscale.internal.configuration.Configuration;
 
 /**
- * This entry's token buckets, one per client account in use.
+ * The token buckets of this daemon, one per active client account with a limit.
  *
  * <p>
- * The rate is the share that the account's home entry last gave. When no share is in
- * force, the rate falls to an equal part of the account's limit among the entries that
- * its address answers name: those parts add up to the limit, so entries that are cut off
- * from the home can't exceed it by themselves. Invariant: a share is never used past its
- * expiry. Not safe for use by multiple threads.
+ * The rate is the share that the account's home daemon last assigned. When no share is
+ * valid, the rate falls back to at most an equal share of the account's limit among the
+ * daemons in its address answers. These add up to the limit, so daemons that are
+ * disconnected from the home daemon can't exceed it by themselves. Invariant: a share is
+ * never used past its expiry. Not safe for use by multiple threads.
  */
 final class AccountLimits {
 
-	/** Part of the cautious rate below which no share falls. */
-	private static final double SMALLEST_PART = 0.01;
+	/** Lower bound of the rate, as a fraction of the equal share. */
+	private static final double MIN_RATE_FRACTION = 0.01;
 
 	private static final long IDLE_NANOS = Duration.ofMinutes(10).toNanos();
 
-	private final Map<ClientAccountId, Account> accounts = new HashMap<>();
+	private final Map<ClientAccountId, AccountState> accounts = new HashMap<>();
 
 	/**
-	 * Sets a share.
+	 * Sets the share of an account.
 	 * @param account the account
 	 * @param tokensPerSecond the share
 	 * @param until when it expires
 	 */
-	void share(ClientAccountId account, double tokensPerSecond, long until) {
-		Account known = this.accounts.computeIfAbsent(account, (id) -> new Account());
+	void setShare(ClientAccountId account, double tokensPerSecond, long until) {
+		AccountState known = this.accounts.computeIfAbsent(account, (id) -> new AccountState());
 		known.share = tokensPerSecond;
 		known.shareUntil = until;
 		known.shared = true;
 	}
 
 	/**
-	 * The bucket of an account, at its present rate.
+	 * Returns the bucket of an account, updated to its current rate.
 	 * @param rule the account's rule
 	 * @param now the time
 	 * @return the bucket, or null if the account has no limit
@@ -51,7 +51,7 @@
 		if (rule.tokensPerSecond() <= 0) {
 			return null;
 		}
-		Account account = this.accounts.computeIfAbsent(rule.name(), (id) -> new Account());
+		AccountState account = this.accounts.computeIfAbsent(rule.name(), (id) -> new AccountState());
 		account.lastUse = now;
 		double rate = account.rate(rule, now);
 		double burst = Math.max(1, rule.burstTokens() * rate / rule.tokensPerSecond());
@@ -63,44 +63,44 @@
 	}
 
 	/**
-	 * Notes what an account asks for, whether it is admitted or not.
+	 * Adds a request to an account's demand, whether it is admitted or not.
 	 * @param id the account
 	 * @param tokens the tokens
 	 */
-	void asked(ClientAccountId id, double tokens) {
-		Account account = this.accounts.get(id);
+	void recordDemand(ClientAccountId id, double tokens) {
+		AccountState account = this.accounts.get(id);
 		if (account != null) {
-			account.asked += tokens;
+			account.demand += tokens;
 		}
 	}
 
 	Map<ClientAccountId, Double> takeDemand() {
 		Map<ClientAccountId, Double> demand = new HashMap<>();
 		this.accounts.forEach((id, account) -> {
-			if (account.asked > 0) {
-				demand.put(id, account.asked);
-				account.asked = 0;
+			if (account.demand > 0) {
+				demand.put(id, account.demand);
+				account.demand = 0;
 			}
 		});
 		return demand;
 	}
 
-	void giveBack(ClientAccountId id, double tokens) {
-		Account account = this.accounts.get(id);
+	void refund(ClientAccountId id, double tokens) {
+		AccountState account = this.accounts.get(id);
 		if (account != null && account.bucket != null) {
-			account.bucket.giveBack(tokens);
+			account.bucket.refund(tokens);
 		}
 	}
 
 	/**
-	 * Forgets accounts that have no rule or were idle for long.
-	 * @param configuration the rules
+	 * Removes accounts that have no rule or have been idle for {@link #IDLE_NANOS}.
+	 * @param configuration the configuration with the rules
 	 * @param now the time
 	 */
-	void forget(Configuration configuration, long now) {
-		Iterator<Map.Entry<ClientAccountId, Account>> entries = this.accounts.entrySet().iterator();
+	void removeUnused(Configuration configuration, long now) {
+		Iterator<Map.Entry<ClientAccountId, AccountState>> entries = this.accounts.entrySet().iterator();
 		while (entries.hasNext()) {
-			Map.Entry<ClientAccountId, Account> entry = entries.next();
+			Map.Entry<ClientAccountId, AccountState> entry = entries.next();
 			boolean idle = now - entry.getValue().lastUse > IDLE_NANOS;
 			if (idle || configuration.account(entry.getKey()).isEmpty()) {
 				entries.remove();
@@ -113,9 +113,9 @@
 	}
 
 	/**
-	 * One account at this entry.
+	 * The state of one account at this daemon.
 	 */
-	private static final class Account {
+	private static final class AccountState {
 
 		private TokenBucket bucket;
 
@@ -127,18 +127,18 @@
 
 		private long lastUse;
 
-		private double asked;
+		private double demand;
 
 		double rate(AccountRule rule, long now) {
-			double cautious = (double) rule.tokensPerSecond() / Math.max(1, rule.entries());
+			double equalShare = (double) rule.tokensPerSecond() / Math.max(1, rule.entries());
 			if (!this.shared) {
-				return cautious;
+				return equalShare;
 			}
 			double bounded = Math.min(this.share, rule.tokensPerSecond());
 			boolean expired = now - this.shareUntil >= 0;
-			double inForce = expired ? Math.min(bounded, cautious) : bounded;
-			// A bucket that never fills could never say when to come back.
-			return Math.max(inForce, cautious * SMALLEST_PART);
+			double inForce = expired ? Math.min(bounded, equalShare) : bounded;
+			// With a rate of 0 there would be no time after which to retry.
+			return Math.max(inForce, equalShare * MIN_RATE_FRACTION);
 		}
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AccountShares.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AccountShares.java
@@ -5,11 +5,12 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * The receiving entry's shares of client accounts' limits, from the accounts' home entry.
+ * The receiving daemon's shares of the limits of client accounts, sent by the accounts'
+ * home daemon.
  *
  * @param accounts the accounts
  * @param tokensPerSecond for each account, the share
- * @param validForMillis how long the shares hold
+ * @param validForMillis how long the shares are valid
  */
 public record AccountShares(List<String> accounts, List<Double> tokensPerSecond,
 		long validForMillis) implements PeerMessage {
@@ -19,7 +20,7 @@
 		tokensPerSecond = List.copyOf(tokensPerSecond);
 		if (accounts.size() != tokensPerSecond.size()) {
 			throw new IllegalArgumentException(
-					accounts.size() + " accounts but " + tokensPerSecond.size() + " rates in shares");
+					"account shares have " + accounts.size() + " accounts but " + tokensPerSecond.size() + " rates");
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AdmissionMessages.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AdmissionMessages.java
@@ -3,7 +3,7 @@
 import org.bramleyscale.internal.peer.MessageCatalog;
 
 /**
- * The peer messages of this slice and their codes, from 70 to 79.
+ * The peer messages of admission and their codes, from 70 to 79.
  */
 public final class AdmissionMessages {
 
@@ -15,8 +15,8 @@
 	}
 
 	/**
-	 * Enters the messages.
-	 * @param catalog the catalog to enter them in
+	 * Registers the messages.
+	 * @param catalog the catalog to register them in
 	 */
 	public static void register(MessageCatalog.Builder catalog) {
 		catalog.add(ACCOUNT_DEMAND, AccountDemand.class);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AdmissionRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AdmissionRequest.java
@@ -7,15 +7,15 @@
 import org.bramleyscale.ServiceName;
 
 /**
- * What matters of a request for admission.
+ * The properties of a request that admission depends on.
  *
- * @param id the request
- * @param account who asks
- * @param service what is asked
+ * @param id the request's id
+ * @param account the client account that sent it
+ * @param service the requested service
  * @param promptTokens estimated tokens of the prompt; 0 for a plain service
- * @param maxTokens the largest number of answer tokens; 0 for a plain service
+ * @param maxTokens the maximum number of answer tokens; 0 for a plain service
  * @param urgent whether the service is urgent
- * @param timeLeft how long it may still take
+ * @param timeLeft time left until the request's deadline
  * @param predictedFirstToken predicted time to the first token if sent now
  * @param predictedFinish predicted time to the last token if sent now
  */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/Backlog.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/Backlog.java
@@ -1,15 +1,16 @@
 package org.bramleyscale.internal.admission;
 
 /**
- * The waiting work of one class of length and the rate at which it lately went on.
+ * The waiting requests of one length class and the recent rate at which they were
+ * started.
  *
  * <p>
- * The rate counts only time in which something waited; otherwise a quiet hour would look
- * like a slow queue. Not safe for use by multiple threads.
+ * The rate covers only time in which requests were waiting; otherwise a queue would seem
+ * slow after a time of low load. Not safe for use by multiple threads.
  */
 final class Backlog {
 
-	private static final double MEMORY_SECONDS = 20;
+	private static final double TIME_CONSTANT_SECONDS = 20;
 
 	private long tokens;
 
@@ -17,40 +18,40 @@
 
 	private long updated;
 
-	private double waitedSeconds;
+	private double busySeconds;
 
-	private double takenTokens;
+	private double startedTokens;
 
 	int requests() {
 		return this.requests;
 	}
 
-	void added(long cost, long now) {
+	void add(long cost, long now) {
 		advance(now);
 		this.requests++;
 		this.tokens += cost;
 	}
 
-	void taken(long cost, long now) {
-		removed(cost, now);
-		this.takenTokens += cost;
+	void start(long cost, long now) {
+		remove(cost, now);
+		this.startedTokens += cost;
 	}
 
-	void removed(long cost, long now) {
+	void remove(long cost, long now) {
 		advance(now);
 		this.requests--;
 		this.tokens -= cost;
 	}
 
 	/**
-	 * How long the work that waits now will take to go on.
-	 * @return seconds, 0 if nothing is known
+	 * Returns the estimated time until all requests that wait now have been started.
+	 * @return seconds, 0 if no request waits or the rate is unknown
 	 */
-	double seconds() {
-		if (this.takenTokens <= 0 || this.requests == 0) {
+	double drainSeconds() {
+		if (this.startedTokens <= 0 || this.requests == 0) {
 			return 0;
 		}
-		return this.tokens * this.waitedSeconds / this.takenTokens;
+		return this.tokens * this.busySeconds / this.startedTokens;
 	}
 
 	private void advance(long now) {
@@ -59,9 +60,9 @@
 		if (this.requests == 0 || seconds <= 0) {
 			return;
 		}
-		double kept = Math.exp(-seconds / MEMORY_SECONDS);
-		this.waitedSeconds = this.waitedSeconds * kept + seconds;
-		this.takenTokens *= kept;
+		double decay = Math.exp(-seconds / TIME_CONSTANT_SECONDS);
+		this.busySeconds = this.busySeconds * decay + seconds;
+		this.startedTokens *= decay;
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/FairAdmission.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/FairAdmission.java
@@ -24,21 +24,23 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Admission by account limits, predicted finish and fair queueing by tokens.
+ * Admits requests by account limits, predicted finish time and queue capacity, and orders
+ * them by fair queueing by tokens.
  *
  * <p>
- * Urgent services go first but leave a share of the tokens to the others. Invariants:
- * every admitted request is charged to its account until it is settled or withdrawn; a
- * refused request leaves no trace. Confined to the scheduler's thread.
+ * Urgent services have priority but leave a share of the tokens to the others.
+ * Invariants: every admitted request is charged to its account until it is settled or
+ * withdrawn; a refused request is neither queued nor charged, and only counts as demand.
+ * Confined to the scheduler's thread.
  */
 public final class FairAdmission implements Admission, StateDump {
 
-	/** What a request without tokens, such as a booking, weighs in the queue. */
-	private static final long SMALLEST_COST = 256;
+	/** The queueing cost of a request without tokens, such as a booking. */
+	private static final long MIN_COST = 256;
 
-	private static final Duration SHORTEST_RETRY = Duration.ofMillis(100);
+	private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(100);
 
-	private static final Duration FORGET_PAUSE = Duration.ofMinutes(1);
+	private static final Duration CLEANUP_INTERVAL = Duration.ofMinutes(1);
 
 	private final Scheduler scheduler;
 
@@ -46,27 +48,27 @@
 
 	private final MetricRegistry metrics;
 
-	private final int mostWaiting;
+	private final int maxWaiting;
 
 	private final AccountLimits limits = new AccountLimits();
 
-	private final AnswerLengths answers = new AnswerLengths();
+	private final AnswerLengthEstimator answers = new AnswerLengthEstimator();
 
 	private final UrgencyQueues queues;
 
-	private final Map<RequestId, Waiting> queued = new HashMap<>();
+	private final Map<RequestId, AdmittedRequest> queued = new HashMap<>();
 
-	private final Map<RequestId, Waiting> charged = new HashMap<>();
+	private final Map<RequestId, AdmittedRequest> charged = new HashMap<>();
 
 	private FairAdmission(Builder builder) {
 		this.scheduler = builder.scheduler;
 		this.configuration = builder.configuration;
 		this.metrics = builder.metrics;
-		this.mostWaiting = builder.mostWaiting;
+		this.maxWaiting = builder.mostWaiting;
 		this.queues = new UrgencyQueues(builder.urgentShare);
 		this.metrics.gauge("admission.waiting", () -> (Gauge<Integer>) this::waiting);
-		this.scheduler.repeat(FORGET_PAUSE,
-				() -> this.limits.forget(this.configuration.current(), this.scheduler.nanos()));
+		this.scheduler.repeat(CLEANUP_INTERVAL,
+				() -> this.limits.removeUnused(this.configuration.current(), this.scheduler.nanos()));
 	}
 
 	public static Builder builder(Scheduler scheduler, ConfigurationSource configuration, MetricRegistry metrics) {
@@ -82,9 +84,9 @@
 		long now = this.scheduler.nanos();
 		long cost = expectedTokens(request);
 		TokenBucket bucket = this.limits.bucket(rule, now);
-		this.limits.asked(request.account(), cost);
+		this.limits.recordDemand(request.account(), cost);
 		checkDeadline(request);
-		checkRoom(request);
+		checkQueueCapacity(request);
 		checkLimit(request, bucket, cost, now);
 		if (bucket != null) {
 			bucket.take(cost);
@@ -95,17 +97,17 @@
 
 	@Override
 	public Optional<RequestId> next(Predicate<RequestId> startable) {
-		Waiting taken = this.queues.next(startable, this.scheduler.nanos());
-		if (taken == null) {
+		AdmittedRequest next = this.queues.next(startable, this.scheduler.nanos());
+		if (next == null) {
 			return Optional.empty();
 		}
-		this.queued.remove(taken.request().id());
-		return Optional.of(taken.request().id());
+		this.queued.remove(next.request().id());
+		return Optional.of(next.request().id());
 	}
 
 	@Override
 	public void withdraw(RequestId id) {
-		Waiting waiting = this.queued.remove(id);
+		AdmittedRequest waiting = this.queued.remove(id);
 		if (waiting != null) {
 			this.queues.remove(waiting, this.scheduler.nanos());
 			settle(id, 0);
@@ -114,11 +116,11 @@
 
 	@Override
 	public void settle(RequestId id, long tokens) {
-		Waiting settled = this.charged.remove(id);
+		AdmittedRequest settled = this.charged.remove(id);
 		if (settled == null) {
 			return;
 		}
-		this.limits.giveBack(settled.request().account(), settled.chargedTokens() - tokens);
+		this.limits.refund(settled.request().account(), settled.chargedTokens() - tokens);
 		if (tokens > 0) {
 			this.answers.learn(settled.request(), tokens);
 		}
@@ -134,26 +136,26 @@
 		if (!(tokensPerSecond >= 0)) {
 			throw new IllegalArgumentException("share must not be negative, was " + tokensPerSecond);
 		}
-		this.limits.share(account, tokensPerSecond, this.scheduler.nanos() + validFor.toNanos());
+		this.limits.setShare(account, tokensPerSecond, this.scheduler.nanos() + validFor.toNanos());
 	}
 
 	/**
-	 * The work that waits, service by service.
-	 * @return a line for each service with waiting requests, sorted by name
+	 * Returns the waiting requests, summarised by service.
+	 * @return an element for each service with waiting requests, sorted by name
 	 */
 	public List<WaitingWork> waitingWork() {
 		Map<String, WaitingWork> byService = new TreeMap<>();
 		long now = this.scheduler.nanos();
-		for (Waiting waiting : this.queued.values()) {
+		for (AdmittedRequest waiting : this.queued.values()) {
 			WaitingWork one = new WaitingWork(waiting.service(), waiting.request().urgent(), 1,
-					Duration.ofNanos(now - waiting.since()));
-			byService.merge(waiting.service().value(), one, WaitingWork::and);
+					Duration.ofNanos(now - waiting.admittedAt()));
+			byService.merge(waiting.service().value(), one, WaitingWork::merge);
 		}
 		return List.copyOf(byService.values());
 	}
 
 	/**
-	 * What accounts with a limit asked for since the last call, admitted or not.
+	 * Returns the demand of accounts with a limit since the last call, admitted or not.
 	 * @return tokens by account
 	 */
 	Map<ClientAccountId, Double> takeDemand() {
@@ -178,56 +180,59 @@
 	private AccountRule rule(AdmissionRequest request) throws ServingException {
 		Optional<AccountRule> rule = this.configuration.current().account(request.account());
 		if (rule.isEmpty()) {
-			throw refusal(ErrorCode.UNAUTHORIZED, "account '" + request.account() + "' has no rule", null);
+			throw refusal(ErrorCode.UNAUTHORIZED, "no rule is configured for account '" + request.account() + "'",
+					null);
 		}
 		return rule.get();
 	}
 
 	private void checkDeadline(AdmissionRequest request) throws ServingException {
-		double part = this.answers.part(request.service());
+		double usedFraction = this.answers.usedFraction(request.service());
 		double first = request.predictedFirstToken().toNanos() / 1e9;
-		double finish = first + part * (request.predictedFinish().toNanos() / 1e9 - first);
-		double queueing = this.queues.secondsAhead(request);
-		double left = request.timeLeft().toNanos() / 1e9;
-		if (queueing + finish > left) {
-			throw refusal(ErrorCode.DEADLINE_TOO_SHORT,
-					String.format(Locale.ROOT,
-							"predicted to finish in %.1f s, %.1f s of it in the queue, but has %.1f s",
-							queueing + finish, queueing, left),
-					Duration.ofMillis((long) ((queueing + finish - left) * 1000)));
+		double finish = first + usedFraction * (request.predictedFinish().toNanos() / 1e9 - first);
+		double queueing = this.queues.queueingSeconds(request);
+		double timeLeft = request.timeLeft().toNanos() / 1e9;
+		if (queueing + finish > timeLeft) {
+			throw refusal(ErrorCode.DEADLINE_TOO_SHORT, String.format(Locale.ROOT,
+					"predicted to finish in %.1f s, including %.1f s in the queue, but the deadline is in %.1f s",
+					queueing + finish, queueing, timeLeft),
+					Duration.ofMillis((long) ((queueing + finish - timeLeft) * 1000)));
 		}
 	}
 
-	private void checkRoom(AdmissionRequest request) throws ServingException {
-		if (waiting() >= this.mostWaiting) {
-			Duration wait = Duration.ofMillis((long) (this.queues.secondsAhead(request) * 1000));
-			throw refusal(ErrorCode.OVERLOADED, waiting() + " requests wait already", wait);
+	private void checkQueueCapacity(AdmissionRequest request) throws ServingException {
+		if (waiting() >= this.maxWaiting) {
+			Duration wait = Duration.ofMillis((long) (this.queues.queueingSeconds(request) * 1000));
+			throw refusal(ErrorCode.OVERLOADED, "queue is full: " + waiting() + " requests are waiting", wait);
 		}
 	}
 
 	private void checkLimit(AdmissionRequest request, TokenBucket bucket, long cost, long now) throws ServingException {
 		if (bucket != null && !bucket.holds(cost, now)) {
-			throw refusal(ErrorCode.RATE_LIMITED, String.format(Locale.ROOT,
-					"account '%s' may use %.0f tokens a second here", request.account(), bucket.rate()),
-					bucket.until(cost, now));
+			throw refusal(ErrorCode.RATE_LIMITED,
+					String.format(Locale.ROOT,
+							"account '%s' exceeds its limit of %.0f tokens per second at this daemon",
+							request.account(), bucket.rate()),
+					bucket.waitTime(cost, now));
 		}
 	}
 
 	private void enqueue(AdmissionRequest request, AccountRule rule, long cost, long now) {
-		Waiting waiting = new Waiting(request, LengthClass.of(request.promptTokens()), Math.max(SMALLEST_COST, cost),
-				cost, now);
+		AdmittedRequest waiting = new AdmittedRequest(request, LengthClass.of(request.promptTokens()),
+				Math.max(MIN_COST, cost), cost, now);
 		this.queues.add(waiting, rule.weight(), now);
 		this.queued.put(request.id(), waiting);
 		this.charged.put(request.id(), waiting);
 	}
 
 	private long expectedTokens(AdmissionRequest request) {
-		return request.promptTokens() + Math.round(request.maxTokens() * this.answers.part(request.service()));
+		return request.promptTokens() + Math.round(request.maxTokens() * this.answers.usedFraction(request.service()));
 	}
 
 	private ServingException refusal(ErrorCode code, String message, Duration retryAfter) {
 		this.metrics.counter("admission.refused." + code.name().toLowerCase(Locale.ROOT).replace('_', '-')).inc();
-		Duration retry = (retryAfter != null && retryAfter.compareTo(SHORTEST_RETRY) < 0) ? SHORTEST_RETRY : retryAfter;
+		Duration retry = (retryAfter != null && retryAfter.compareTo(MIN_RETRY_AFTER) < 0) ? MIN_RETRY_AFTER
+				: retryAfter;
 		return new ServingException(code, Ran.NO, Step.ADMIT, "self", message, retry);
 	}
 
@@ -253,20 +258,20 @@
 		}
 
 		/**
-		 * Sets how many requests may wait.
-		 * @param most their number, at least 1
+		 * Sets the maximum number of waiting requests.
+		 * @param max the number, at least 1
 		 * @return this builder
 		 */
-		public Builder mostWaiting(int most) {
-			if (most < 1) {
-				throw new IllegalArgumentException("most waiting requests must be at least 1, was " + most);
+		public Builder mostWaiting(int max) {
+			if (max < 1) {
+				throw new IllegalArgumentException("maximum number of waiting requests must be at least 1, was " + max);
 			}
-			this.mostWaiting = most;
+			this.mostWaiting = max;
 			return this;
 		}
 
 		/**
-		 * Sets the part of the tokens that urgent services may take while others wait.
+		 * Sets the share of the tokens that urgent services may use while others wait.
 		 * @param share from 0.5 to below 1
 		 * @return this builder
 		 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/FairQueue.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/FairQueue.java
@@ -13,25 +13,26 @@
 import org.bramleyscale.RequestId;
 
 /**
- * Start-time fair queueing by tokens among the client accounts that wait for one service.
+ * Start-time fair queueing by tokens among the client accounts with requests waiting for
+ * one service.
  *
  * <p>
- * Each account has one virtual clock and a line per class of length. A head that can't
- * start doesn't hold up the other classes, otherwise one service manual would delay every
- * quote behind it; the account's clock still counts all of its classes together.
- * Invariant: an account that waits is in the ordered set of each class in which it has a
- * line, and in no other. Not safe for use by multiple threads.
+ * Each account has one flow, with one start tag and a queue per length class. A head that
+ * can't start doesn't block the other classes; otherwise one long prompt would delay
+ * every short prompt behind it. The start tag counts the requests of all classes
+ * together. Invariant: a flow is in the ordered set of each class in which it has waiting
+ * requests, and in no other. Not safe for use by multiple threads.
  */
 final class FairQueue {
 
-	/** Heads tried per class, so that one call stays cheap with thousands waiting. */
+	/** Heads tried per class, which bounds the cost of a call with thousands waiting. */
 	private static final int HEADS_PER_CLASS = 3;
 
 	private static final LengthClass[] CLASSES = LengthClass.values();
 
 	private final Map<ClientAccountId, Flow> flows = new HashMap<>();
 
-	private final Map<LengthClass, TreeSet<Flow>> ordered = new EnumMap<>(LengthClass.class);
+	private final Map<LengthClass, TreeSet<Flow>> orderedFlows = new EnumMap<>(LengthClass.class);
 
 	private final Map<LengthClass, Backlog> backlogs = new EnumMap<>(LengthClass.class);
 
@@ -39,13 +40,13 @@
 
 	private double virtualTime;
 
-	private long created;
+	private long createdFlows;
 
 	private int waiting;
 
 	FairQueue() {
 		for (LengthClass lengthClass : CLASSES) {
-			this.ordered.put(lengthClass, new TreeSet<>());
+			this.orderedFlows.put(lengthClass, new TreeSet<>());
 			this.backlogs.put(lengthClass, new Backlog());
 		}
 	}
@@ -59,8 +60,8 @@
 	}
 
 	/**
-	 * The lengths of the lines.
-	 * @return waiting requests by class of length
+	 * Returns the lengths of the queues.
+	 * @return the numbers of waiting requests by length class
 	 */
 	Map<LengthClass, Integer> dump() {
 		Map<LengthClass, Integer> dump = new EnumMap<>(LengthClass.class);
@@ -68,28 +69,28 @@
 		return dump;
 	}
 
-	void add(Waiting request, int weight, long now) {
-		Flow flow = this.flows.computeIfAbsent(request.request().account(), (id) -> new Flow(id, this.created++));
+	void add(AdmittedRequest request, int weight, long now) {
+		Flow flow = this.flows.computeIfAbsent(request.request().account(), (id) -> new Flow(id, this.createdFlows++));
 		if (flow.isEmpty()) {
 			flow.activate(this.virtualTime);
 		}
 		flow.weight(weight);
 		flow.add(request);
-		this.ordered.get(request.lengthClass()).add(flow);
-		this.backlogs.get(request.lengthClass()).added(request.cost(), now);
+		this.orderedFlows.get(request.lengthClass()).add(flow);
+		this.backlogs.get(request.lengthClass()).add(request.cost(), now);
 		this.waiting++;
 	}
 
 	/**
-	 * Finds the next request in fair order that can start, and leaves it in the queue.
-	 * @param startable tells whether a request can start
-	 * @return the request, or null
+	 * Returns the next request in fair order that can start, without removing it.
+	 * @param startable returns whether a request can start
+	 * @return the request, or null if none can start
 	 */
-	Waiting peek(Predicate<RequestId> startable) {
+	AdmittedRequest peek(Predicate<RequestId> startable) {
 		this.heads.clear();
 		for (LengthClass lengthClass : CLASSES) {
 			int tried = 0;
-			for (Flow flow : this.ordered.get(lengthClass)) {
+			for (Flow flow : this.orderedFlows.get(lengthClass)) {
 				if (tried++ == HEADS_PER_CLASS) {
 					break;
 				}
@@ -106,68 +107,70 @@
 	}
 
 	/**
-	 * Takes a request out to be started, and charges its account.
+	 * Removes a request that is being started and charges its cost to its account.
 	 * @param request the request
 	 * @param now the time
 	 */
-	void take(Waiting request, long now) {
+	void take(AdmittedRequest request, long now) {
 		Flow flow = this.flows.get(request.request().account());
-		this.virtualTime = Math.max(this.virtualTime, flow.tag());
-		leave(flow, request);
-		this.backlogs.get(request.lengthClass()).taken(request.cost(), now);
+		this.virtualTime = Math.max(this.virtualTime, flow.startTag());
+		detach(flow, request);
+		this.backlogs.get(request.lengthClass()).start(request.cost(), now);
 		flow.charge(request.cost());
-		enter(flow);
+		attach(flow);
 	}
 
 	/**
-	 * Takes a request out that won't be started.
+	 * Removes a request that won't be started.
 	 * @param request the request
 	 * @param now the time
 	 */
-	void remove(Waiting request, long now) {
+	void remove(AdmittedRequest request, long now) {
 		Flow flow = this.flows.get(request.request().account());
-		leave(flow, request);
-		this.backlogs.get(request.lengthClass()).removed(request.cost(), now);
-		enter(flow);
+		detach(flow, request);
+		this.backlogs.get(request.lengthClass()).remove(request.cost(), now);
+		attach(flow);
 	}
 
-	private void leave(Flow flow, Waiting request) {
+	private void detach(Flow flow, AdmittedRequest request) {
 		for (LengthClass lengthClass : CLASSES) {
-			if (flow.waitsIn(lengthClass)) {
-				this.ordered.get(lengthClass).remove(flow);
+			if (flow.hasWaiting(lengthClass)) {
+				this.orderedFlows.get(lengthClass).remove(flow);
 			}
 		}
 		flow.remove(request);
 		this.waiting--;
 	}
 
-	private void enter(Flow flow) {
+	private void attach(Flow flow) {
 		for (LengthClass lengthClass : CLASSES) {
-			if (flow.waitsIn(lengthClass)) {
-				this.ordered.get(lengthClass).add(flow);
+			if (flow.hasWaiting(lengthClass)) {
+				this.orderedFlows.get(lengthClass).add(flow);
 			}
 		}
-		if (flow.isEmpty() && flow.tag() <= this.virtualTime) {
+		// An idle flow whose start tag isn't ahead of the virtual time holds no
+		// information.
+		if (flow.isEmpty() && flow.startTag() <= this.virtualTime) {
 			this.flows.remove(flow.account());
 		}
-		forgetIdle();
+		resetIfEmpty();
 	}
 
 	/**
-	 * An idle account whose clock the others have passed carries no information.
+	 * Discards all flows if no request waits.
 	 */
-	private void forgetIdle() {
+	private void resetIfEmpty() {
 		if (this.waiting == 0) {
-			// Nobody competes, so nobody is ahead of anybody.
+			// No accounts compete, so no start tag is ahead of another.
 			this.flows.clear();
 			this.virtualTime = 0;
 		}
 	}
 
 	/**
-	 * A request at the head of a line.
+	 * A request at the head of a queue of a flow.
 	 */
-	private record Head(Flow flow, Waiting request) {
+	private record Head(Flow flow, AdmittedRequest request) {
 
 		private static final Comparator<Head> ORDER = Comparator.comparing(Head::flow)
 			.thenComparing((head) -> head.request.lengthClass());
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/Flow.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/Flow.java
@@ -8,38 +8,38 @@
 import org.bramleyscale.RequestId;
 
 /**
- * The waiting requests of one client account within a fair queue, a line per class of
- * length.
+ * The waiting requests of one client account within a fair queue, one queue per length
+ * class.
  *
  * <p>
- * Ordered by virtual time, then by age. Not safe for use by multiple threads; the tag may
- * change only while the flow is in no ordered set.
+ * Ordered by start tag, then by the order of creation. Not safe for use by multiple
+ * threads; the start tag may change only while the flow is in no ordered set.
  */
 final class Flow implements Comparable<Flow> {
 
 	private final ClientAccountId account;
 
-	private final long number;
+	private final long sequence;
 
-	private final Map<LengthClass, LinkedHashMap<RequestId, Waiting>> lines = new EnumMap<>(LengthClass.class);
+	private final Map<LengthClass, LinkedHashMap<RequestId, AdmittedRequest>> queues = new EnumMap<>(LengthClass.class);
 
-	private double tag;
+	private double startTag;
 
 	private int weight = 1;
 
 	private int waiting;
 
-	Flow(ClientAccountId account, long number) {
+	Flow(ClientAccountId account, long sequence) {
 		this.account = account;
-		this.number = number;
+		this.sequence = sequence;
 	}
 
 	ClientAccountId account() {
 		return this.account;
 	}
 
-	double tag() {
-		return this.tag;
+	double startTag() {
+		return this.startTag;
 	}
 
 	int weight() {
@@ -54,44 +54,44 @@
 		return this.waiting == 0;
 	}
 
-	boolean waitsIn(LengthClass lengthClass) {
-		LinkedHashMap<RequestId, Waiting> line = this.lines.get(lengthClass);
-		return line != null && !line.isEmpty();
+	boolean hasWaiting(LengthClass lengthClass) {
+		LinkedHashMap<RequestId, AdmittedRequest> queue = this.queues.get(lengthClass);
+		return queue != null && !queue.isEmpty();
 	}
 
-	void add(Waiting request) {
-		this.lines.computeIfAbsent(request.lengthClass(), (key) -> new LinkedHashMap<>())
+	void add(AdmittedRequest request) {
+		this.queues.computeIfAbsent(request.lengthClass(), (key) -> new LinkedHashMap<>())
 			.put(request.request().id(), request);
 		this.waiting++;
 	}
 
-	void remove(Waiting request) {
-		LinkedHashMap<RequestId, Waiting> line = this.lines.get(request.lengthClass());
-		if (line != null && line.remove(request.request().id()) != null) {
+	void remove(AdmittedRequest request) {
+		LinkedHashMap<RequestId, AdmittedRequest> queue = this.queues.get(request.lengthClass());
+		if (queue != null && queue.remove(request.request().id()) != null) {
 			this.waiting--;
 		}
 	}
 
-	Waiting head(LengthClass lengthClass) {
-		return this.lines.get(lengthClass).values().iterator().next();
+	AdmittedRequest head(LengthClass lengthClass) {
+		return this.queues.get(lengthClass).values().iterator().next();
 	}
 
 	/**
-	 * Starts again after a pause, without credit for it.
+	 * Activates the flow without credit for the time in which it was idle.
 	 * @param virtualTime the queue's virtual time
 	 */
 	void activate(double virtualTime) {
-		this.tag = Math.max(this.tag, virtualTime);
+		this.startTag = Math.max(this.startTag, virtualTime);
 	}
 
 	void charge(long cost) {
-		this.tag += (double) cost / this.weight;
+		this.startTag += (double) cost / this.weight;
 	}
 
 	@Override
 	public int compareTo(Flow other) {
-		int byTag = Double.compare(this.tag, other.tag);
-		return (byTag != 0) ? byTag : Long.compare(this.number, other.number);
+		int byStartTag = Double.compare(this.startTag, other.startTag);
+		return (byStartTag != 0) ? byStartTag : Long.compare(this.sequence, other.sequence);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/LengthClass.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/LengthClass.java
@@ -1,7 +1,7 @@
 package org.bramleyscale.internal.admission;
 
 /**
- * Classes of prompt length between which a request may pass another.
+ * Length classes of prompts. A request may start before an earlier one of another class.
  */
 enum LengthClass {
 
@@ -17,20 +17,20 @@
 	/** A manual. */
 	LONG(131_072),
 
-	/** Anything longer, up to prompts that need several engines. */
+	/** Longer prompts, including those that need several engines. */
 	HUGE(Integer.MAX_VALUE);
 
 	private static final LengthClass[] VALUES = values();
 
-	private final int largestTokens;
+	private final int maxPromptTokens;
 
-	LengthClass(int largestTokens) {
-		this.largestTokens = largestTokens;
+	LengthClass(int maxPromptTokens) {
+		this.maxPromptTokens = maxPromptTokens;
 	}
 
 	static LengthClass of(int promptTokens) {
 		for (LengthClass lengthClass : VALUES) {
-			if (promptTokens <= lengthClass.largestTokens) {
+			if (promptTokens <= lengthClass.maxPromptTokens) {
 				return lengthClass;
 			}
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/LimitShares.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/LimitShares.java
@@ -19,27 +19,30 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Splits client accounts' limits among the entries that their callers use.
+ * Splits the limits of client accounts among the daemons that their callers use.
  *
  * <p>
- * The home entry of an account, the first that its address answers name, hears from each
- * entry what the account asks there and answers with a share that expires. Invariant: the
- * shares one home has in force for an account never add up to more than its limit plus
- * one round's change. An entry that is cut off falls back to an equal part, so a fleet
- * cut in two can exceed a limit by at most the other side's equal parts. Confined to the
- * scheduler's thread.
+ * Each daemon reports an account's demand to the account's home daemon, which is the
+ * first daemon in its address answers, and receives a share that expires. Invariant: the
+ * valid shares of an account that one home daemon assigned never add up to more than the
+ * limit plus the change of one interval. A partitioned daemon falls back to an equal
+ * share, so during a network partition an account can exceed its limit by at most the
+ * equal shares of the daemons on the other side. Confined to the scheduler's thread.
  */
 public final class LimitShares {
 
-	private static final Duration ROUND = Duration.ofSeconds(2);
+	private static final Duration INTERVAL = Duration.ofSeconds(2);
 
-	private static final Duration VALID_FOR = ROUND.multipliedBy(3);
+	private static final Duration SHARE_LIFETIME = INTERVAL.multipliedBy(3);
 
-	/** Weight of the newest round in the demand, against flapping shares. */
+	/**
+	 * Weight of the latest interval in the smoothed demand; smoothing keeps shares
+	 * stable.
+	 */
 	private static final double DEMAND_GAIN = 0.5;
 
-	/** Demand below this is forgotten. */
-	private static final double SMALLEST_DEMAND = 0.5;
+	/** Demand below this is dropped. */
+	private static final double MIN_DEMAND = 0.5;
 
 	private final Scheduler scheduler;
 
@@ -53,11 +56,11 @@
 
 	private final FairAdmission admission;
 
-	/** What this entry was asked lately, in tokens a second. */
-	private final Map<ClientAccountId, Double> own = new TreeMap<>((a, b) -> a.value().compareTo(b.value()));
+	/** The smoothed demand at this daemon, in tokens per second. */
+	private final Map<ClientAccountId, Double> ownDemand = new TreeMap<>((a, b) -> a.value().compareTo(b.value()));
 
-	/** As home entry: what each entry was asked, by account. */
-	private final Map<ClientAccountId, Map<VmId, Demand>> reported = new HashMap<>();
+	/** As home daemon: the demand reported by each daemon, by account. */
+	private final Map<ClientAccountId, Map<VmId, ReportedDemand>> reported = new HashMap<>();
 
 	public LimitShares(Scheduler scheduler, MembershipView membership, AddressBook addresses,
 			ConfigurationSource configuration, PeerNetwork network, FairAdmission admission) {
@@ -69,34 +72,34 @@
 		this.admission = admission;
 		network.listen(AccountDemand.class, this::received);
 		network.listen(AccountShares.class, this::received);
-		scheduler.repeat(ROUND, this::round);
+		scheduler.repeat(INTERVAL, this::reportDemand);
 	}
 
-	private void round() {
-		forgetOld();
+	private void reportDemand() {
+		removeExpired();
 		updateOwnDemand();
-		Map<VmId, Rates> demands = new HashMap<>();
-		for (Map.Entry<ClientAccountId, Double> entry : this.own.entrySet()) {
-			VmId home = home(entry.getKey());
+		Map<VmId, AccountRates> demands = new HashMap<>();
+		for (Map.Entry<ClientAccountId, Double> entry : this.ownDemand.entrySet()) {
+			VmId home = homeDaemon(entry.getKey());
 			if (home != null) {
-				demands.computeIfAbsent(home, (vm) -> new Rates()).add(entry.getKey().value(), entry.getValue());
+				demands.computeIfAbsent(home, (vm) -> new AccountRates()).add(entry.getKey().value(), entry.getValue());
 			}
 		}
-		demands.forEach(this::tell);
+		demands.forEach(this::send);
 	}
 
 	private void updateOwnDemand() {
-		Map<ClientAccountId, Double> asked = this.admission.takeDemand();
-		double seconds = ROUND.toNanos() / 1e9;
-		asked.keySet().forEach((account) -> this.own.putIfAbsent(account, 0.0));
-		this.own.replaceAll((account, before) -> {
-			double now = asked.getOrDefault(account, 0.0) / seconds;
-			return before + DEMAND_GAIN * (now - before);
+		Map<ClientAccountId, Double> requested = this.admission.takeDemand();
+		double seconds = INTERVAL.toNanos() / 1e9;
+		requested.keySet().forEach((account) -> this.ownDemand.putIfAbsent(account, 0.0));
+		this.ownDemand.replaceAll((account, previous) -> {
+			double current = requested.getOrDefault(account, 0.0) / seconds;
+			return previous + DEMAND_GAIN * (current - previous);
 		});
-		this.own.values().removeIf((demand) -> demand < SMALLEST_DEMAND);
+		this.ownDemand.values().removeIf((demand) -> demand < MIN_DEMAND);
 	}
 
-	private void tell(VmId home, Rates rates) {
+	private void send(VmId home, AccountRates rates) {
 		AccountDemand demand = new AccountDemand(rates.accounts, rates.tokensPerSecond);
 		if (home.equals(self())) {
 			received(this.membership.self(), demand);
@@ -107,7 +110,7 @@
 	}
 
 	private void received(Incarnation from, AccountDemand demand) {
-		Rates rates = new Rates();
+		AccountRates rates = new AccountRates();
 		for (int i = 0; i < demand.accounts().size(); i++) {
 			ClientAccountId account = new ClientAccountId(demand.accounts().get(i));
 			AccountRule rule = this.configuration.current().account(account).orElse(null);
@@ -115,7 +118,7 @@
 				rates.add(account.value(), share(rule, from.vm(), demand.tokensPerSecond().get(i)));
 			}
 		}
-		AccountShares shares = new AccountShares(rates.accounts, rates.tokensPerSecond, VALID_FOR.toMillis());
+		AccountShares shares = new AccountShares(rates.accounts, rates.tokensPerSecond, SHARE_LIFETIME.toMillis());
 		if (from.vm().equals(self())) {
 			received(from, shares);
 		}
@@ -132,24 +135,24 @@
 		}
 	}
 
-	private double share(AccountRule rule, VmId entry, double demand) {
-		Map<VmId, Demand> demands = this.reported.computeIfAbsent(rule.name(),
+	private double share(AccountRule rule, VmId daemon, double demand) {
+		Map<VmId, ReportedDemand> demands = this.reported.computeIfAbsent(rule.name(),
 				(account) -> new TreeMap<>((a, b) -> a.value().compareTo(b.value())));
-		demands.put(entry, new Demand(demand, this.scheduler.nanos()));
-		double[] asked = demands.values().stream().mapToDouble(Demand::tokensPerSecond).toArray();
-		double[] shares = LimitSplit.split(rule.tokensPerSecond(), asked);
-		return shares[new ArrayList<>(demands.keySet()).indexOf(entry)];
+		demands.put(daemon, new ReportedDemand(demand, this.scheduler.nanos()));
+		double[] daemonDemands = demands.values().stream().mapToDouble(ReportedDemand::tokensPerSecond).toArray();
+		double[] shares = LimitSplit.split(rule.tokensPerSecond(), daemonDemands);
+		return shares[new ArrayList<>(demands.keySet()).indexOf(daemon)];
 	}
 
-	private void forgetOld() {
-		long oldest = this.scheduler.nanos() - VALID_FOR.toNanos();
-		for (Map<VmId, Demand> demands : this.reported.values()) {
-			demands.values().removeIf((demand) -> demand.heard() < oldest);
+	private void removeExpired() {
+		long oldest = this.scheduler.nanos() - SHARE_LIFETIME.toNanos();
+		for (Map<VmId, ReportedDemand> demands : this.reported.values()) {
+			demands.values().removeIf((demand) -> demand.receivedAt() < oldest);
 		}
 		this.reported.values().removeIf(Map::isEmpty);
 	}
 
-	private VmId home(ClientAccountId account) {
+	private VmId homeDaemon(ClientAccountId account) {
 		List<AddressAnswer.Entry> entries = this.addresses.addresses(account).entries();
 		return entries.isEmpty() ? null : Incarnation.parse(entries.get(0).requestIdPrefix()).vm();
 	}
@@ -159,18 +162,18 @@
 	}
 
 	/**
-	 * What one entry reported.
+	 * The demand that one daemon reported.
 	 *
 	 * @param tokensPerSecond the demand
-	 * @param heard when it was heard
+	 * @param receivedAt when the report was received
 	 */
-	private record Demand(double tokensPerSecond, long heard) {
+	private record ReportedDemand(double tokensPerSecond, long receivedAt) {
 	}
 
 	/**
 	 * Accounts and rates collected for one message.
 	 */
-	private static final class Rates {
+	private static final class AccountRates {
 
 		private final List<String> accounts = new ArrayList<>();
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/LimitSplit.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/LimitSplit.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * Splits an account's limit among entries by their demand.
+ * Splits an account's limit among daemons by their demand (max-min fairness).
  *
  * <p>
  * Stateless.
@@ -14,9 +14,9 @@
 	}
 
 	/**
-	 * Gives each entry its demand as far as the limit reaches, smaller demands first, and
-	 * spreads what is left evenly, so that a rising demand needn't wait for the next
-	 * round.
+	 * Assigns each daemon its demand as far as the limit suffices, smaller demands first,
+	 * and distributes the remainder evenly, so that rising demand doesn't have to wait
+	 * for the next interval.
 	 * @param limit the limit to split
 	 * @param demands the demands
 	 * @return the shares, which add up to the limit
@@ -25,17 +25,17 @@
 		double[] shares = new double[demands.length];
 		double[] ascending = demands.clone();
 		Arrays.sort(ascending);
-		double left = limit;
+		double remaining = limit;
 		double level = 0;
 		for (int i = 0; i < ascending.length; i++) {
-			int sharing = ascending.length - i;
-			double step = Math.min(ascending[i] - level, left / sharing);
+			int unsatisfied = ascending.length - i;
+			double step = Math.min(ascending[i] - level, remaining / unsatisfied);
 			level += step;
-			left -= step * sharing;
+			remaining -= step * unsatisfied;
 		}
-		double spare = left / Math.max(1, demands.length);
+		double equalRemainder = remaining / Math.max(1, demands.length);
 		for (int i = 0; i < demands.length; i++) {
-			shares[i] = Math.min(demands[i], level) + spare;
+			shares[i] = Math.min(demands[i], level) + equalRemainder;
 		}
 		return shares;
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/RatioTokenEstimator.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/RatioTokenEstimator.java
@@ -10,21 +10,21 @@
  * Estimates tokens as UTF-8 bytes divided by a ratio learnt per model and kind of script.
  *
  * <p>
- * One ratio for all text would serve neither user: the tokenizers of most models spend
- * fewer bytes per token on Vietnamese than on English. The share of bytes outside ASCII
- * tells the kinds apart without a dictionary. Invariant: an estimate is at least 1 for a
- * prompt that isn't empty. Confined to the scheduler's thread.
+ * One ratio for all text would be wrong for all of it: the tokenizers of most models use
+ * fewer bytes per token for Vietnamese than for English. The share of bytes outside ASCII
+ * distinguishes the kinds of script without a dictionary. Invariant: an estimate is at
+ * least 1 for a prompt that isn't empty. Confined to the scheduler's thread.
  */
 public final class RatioTokenEstimator implements TokenEstimator {
 
-	/** Assumed until something was learnt. */
+	/** Assumed for a model until a first request has completed. */
 	private static final double INITIAL_BYTES_PER_TOKEN = 3.5;
 
-	private static final double SMALLEST_BYTES_PER_TOKEN = 0.5;
+	private static final double MIN_BYTES_PER_TOKEN = 0.5;
 
-	private static final double LARGEST_BYTES_PER_TOKEN = 16;
+	private static final double MAX_BYTES_PER_TOKEN = 16;
 
-	private static final double SMALLEST_GAIN = 0.05;
+	private static final double MIN_GAIN = 0.05;
 
 	private final Map<ModelName, Map<Script, Ratio>> ratios = new HashMap<>();
 
@@ -56,29 +56,29 @@
 	}
 
 	/**
-	 * Kinds of text by their share of bytes outside ASCII.
+	 * Kinds of script, distinguished by the share of bytes outside ASCII.
 	 */
 	enum Script {
 
 		/** Nearly all ASCII, such as English or code. */
-		PLAIN,
+		ASCII,
 
-		/** Latin letters with many marks, such as Vietnamese. */
-		MARKED,
+		/** Latin letters with many diacritics, such as Vietnamese. */
+		ACCENTED_LATIN,
 
 		/** Mostly outside ASCII, such as Chinese. */
-		OTHER;
+		NON_LATIN;
 
-		private static final double PLAIN_LIMIT = 0.05;
+		private static final double ASCII_SHARE_LIMIT = 0.05;
 
-		private static final double MARKED_LIMIT = 0.6;
+		private static final double ACCENTED_LATIN_SHARE_LIMIT = 0.6;
 
 		static Script of(long bytes, long bytesOutsideAscii) {
 			double share = (bytes > 0) ? (double) bytesOutsideAscii / bytes : 0;
-			if (share < PLAIN_LIMIT) {
-				return PLAIN;
+			if (share < ASCII_SHARE_LIMIT) {
+				return ASCII;
 			}
-			return (share < MARKED_LIMIT) ? MARKED : OTHER;
+			return (share < ACCENTED_LATIN_SHARE_LIMIT) ? ACCENTED_LATIN : NON_LATIN;
 		}
 
 	}
@@ -86,8 +86,8 @@
 	/**
 	 * The size of a text in UTF-8, counted without encoding it.
 	 *
-	 * @param bytes its bytes
-	 * @param script its kind
+	 * @param bytes the number of bytes
+	 * @param script the kind of script
 	 */
 	private record TextSize(long bytes, Script script) {
 
@@ -97,20 +97,20 @@
 
 		static TextSize of(String text) {
 			long ascii = 0;
-			long other = 0;
+			long nonAscii = 0;
 			for (int i = 0; i < text.length(); i++) {
 				char c = text.charAt(i);
 				if (c < ASCII_LIMIT) {
 					ascii++;
 				}
 				else if (c < TWO_BYTE_LIMIT || Character.isSurrogate(c)) {
-					other += 2;
+					nonAscii += 2;
 				}
 				else {
-					other += 3;
+					nonAscii += 3;
 				}
 			}
-			return new TextSize(ascii + other, Script.of(ascii + other, other));
+			return new TextSize(ascii + nonAscii, Script.of(ascii + nonAscii, nonAscii));
 		}
 
 	}
@@ -125,9 +125,9 @@
 		private int samples;
 
 		void add(double sample) {
-			double bounded = Math.max(SMALLEST_BYTES_PER_TOKEN, Math.min(LARGEST_BYTES_PER_TOKEN, sample));
+			double bounded = Math.max(MIN_BYTES_PER_TOKEN, Math.min(MAX_BYTES_PER_TOKEN, sample));
 			this.samples++;
-			double gain = Math.max(SMALLEST_GAIN, 1.0 / this.samples);
+			double gain = Math.max(MIN_GAIN, 1.0 / this.samples);
 			this.value += gain * (bounded - this.value);
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/TokenBucket.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/TokenBucket.java
@@ -3,12 +3,13 @@
 import java.time.Duration;
 
 /**
- * A token bucket that may go into debt by one request.
+ * A token bucket whose level may become negative through one request.
  *
  * <p>
- * A request larger than the burst is taken when the bucket is full, since it could never
- * be taken otherwise; the debt then delays what follows, so the long-term rate holds.
- * Invariant: the level never exceeds the burst. Not safe for use by multiple threads.
+ * A request larger than the burst is allowed when the bucket is full, since it could
+ * never be allowed otherwise. The negative level then delays later requests, so the
+ * long-term rate is kept. Invariant: the level never exceeds the burst. Not safe for use
+ * by multiple threads.
  */
 public final class TokenBucket {
 
@@ -28,9 +29,9 @@
 	}
 
 	/**
-	 * Changes the limit; what has accumulated stays, up to the new burst.
-	 * @param newRate tokens a second
-	 * @param newBurst most tokens that accumulate
+	 * Changes the limit; accumulated tokens are kept up to the new burst.
+	 * @param newRate tokens per second
+	 * @param newBurst the maximum number of accumulated tokens
 	 * @param now the time
 	 */
 	public void limit(double newRate, double newBurst, long now) {
@@ -61,17 +62,17 @@
 		this.level -= tokens;
 	}
 
-	void giveBack(double tokens) {
+	void refund(double tokens) {
 		this.level = Math.min(this.burst, this.level + tokens);
 	}
 
 	/**
-	 * When a request could be taken if nothing else is.
-	 * @param tokens its tokens
+	 * Returns the time until a request is allowed if no other is taken before it.
+	 * @param tokens the request's tokens
 	 * @param now the time
 	 * @return the time to wait, rounded up to a millisecond
 	 */
-	Duration until(double tokens, long now) {
+	Duration waitTime(double tokens, long now) {
 		refill(now);
 		double missing = needed(tokens) - this.level;
 		if (missing <= 0) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/TokenEstimator.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/TokenEstimator.java
@@ -16,7 +16,7 @@
 	 * Learns from a completed request.
 	 * @param model the model
 	 * @param prompt the prompt
-	 * @param tokens the tokens the engine counted
+	 * @param tokens the number of tokens reported by the engine
 	 */
 	void learn(ModelName model, String prompt, int tokens);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/UrgencyQueues.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/UrgencyQueues.java
@@ -8,54 +8,56 @@
 import org.bramleyscale.ServiceName;
 
 /**
- * The fair queues of all services, urgent ones first.
+ * The fair queues of all services, which give priority to urgent services.
  *
  * <p>
- * While both kinds wait, each token started for an urgent service earns the others a
- * fixed part of a token; once they have earned their next request it goes first, so
- * urgent work can't starve them for ever. Services are tried in turn, so one whose
- * endpoints are full holds up no other. Not safe for use by multiple threads.
+ * While both urgent and normal requests wait, each token started for an urgent service
+ * adds a fixed credit to the normal services; once the credit covers their next request,
+ * it is started first, so urgent services can't starve the others. All services are
+ * tried, so one whose endpoints are at capacity doesn't block the others. Not safe for
+ * use by multiple threads.
  */
 final class UrgencyQueues {
 
 	/**
-	 * Enough for the longest prompt; more would let others hold up urgent work in turn.
+	 * Enough credit for the longest prompt; more would let normal requests block urgent
+	 * ones.
 	 */
-	private static final double MOST_EARNED = 2_000_000;
+	private static final double MAX_CREDIT = 2_000_000;
 
-	private final double earnedPerUrgentToken;
+	private final double creditPerUrgentToken;
 
 	private final Map<ServiceName, FairQueue> urgent = new LinkedHashMap<>();
 
 	private final Map<ServiceName, FairQueue> normal = new LinkedHashMap<>();
 
-	private double earned;
+	private double credit;
 
 	UrgencyQueues(double urgentShare) {
-		this.earnedPerUrgentToken = (1 - urgentShare) / urgentShare;
+		this.creditPerUrgentToken = (1 - urgentShare) / urgentShare;
 	}
 
-	void add(Waiting request, int weight, long now) {
+	void add(AdmittedRequest request, int weight, long now) {
 		queue(request.request()).add(request, weight, now);
 	}
 
-	void remove(Waiting request, long now) {
+	void remove(AdmittedRequest request, long now) {
 		queue(request.request()).remove(request, now);
 	}
 
-	Waiting next(Predicate<RequestId> startable, long now) {
-		Waiting normalNext = null;
-		boolean normalTried = this.earned > 0;
+	AdmittedRequest next(Predicate<RequestId> startable, long now) {
+		AdmittedRequest normalNext = null;
+		boolean normalTried = this.credit > 0;
 		if (normalTried) {
 			normalNext = peek(this.normal, startable);
-			if (normalNext != null && normalNext.cost() <= this.earned) {
-				this.earned -= normalNext.cost();
+			if (normalNext != null && normalNext.cost() <= this.credit) {
+				this.credit -= normalNext.cost();
 				return take(normalNext, now);
 			}
 		}
-		Waiting urgentNext = peek(this.urgent, startable);
+		AdmittedRequest urgentNext = peek(this.urgent, startable);
 		if (urgentNext != null) {
-			earn(urgentNext);
+			addCredit(urgentNext);
 			return take(urgentNext, now);
 		}
 		if (!normalTried) {
@@ -65,13 +67,13 @@
 	}
 
 	/**
-	 * How long the work ahead of a request will take to go on.
+	 * Returns the estimated time until the requests ahead of a request have been started.
 	 * @param request the request
-	 * @return seconds, 0 if nothing is known
+	 * @return seconds, 0 if no request waits or the rate is unknown
 	 */
-	double secondsAhead(AdmissionRequest request) {
+	double queueingSeconds(AdmissionRequest request) {
 		FairQueue queue = (request.urgent() ? this.urgent : this.normal).get(request.service());
-		return (queue != null) ? queue.backlog(LengthClass.of(request.promptTokens())).seconds() : 0;
+		return (queue != null) ? queue.backlog(LengthClass.of(request.promptTokens())).drainSeconds() : 0;
 	}
 
 	Object dump() {
@@ -81,16 +83,16 @@
 		return dump;
 	}
 
-	private void earn(Waiting urgentNext) {
-		if (waits(this.normal)) {
-			this.earned = Math.min(MOST_EARNED, this.earned + urgentNext.cost() * this.earnedPerUrgentToken);
+	private void addCredit(AdmittedRequest urgentNext) {
+		if (anyWaiting(this.normal)) {
+			this.credit = Math.min(MAX_CREDIT, this.credit + urgentNext.cost() * this.creditPerUrgentToken);
 		}
 		else {
-			this.earned = 0;
+			this.credit = 0;
 		}
 	}
 
-	private Waiting take(Waiting request, long now) {
+	private AdmittedRequest take(AdmittedRequest request, long now) {
 		queue(request.request()).take(request, now);
 		return request;
 	}
@@ -100,7 +102,7 @@
 		return queues.computeIfAbsent(request.service(), (service) -> new FairQueue());
 	}
 
-	private static boolean waits(Map<ServiceName, FairQueue> queues) {
+	private static boolean anyWaiting(Map<ServiceName, FairQueue> queues) {
 		for (FairQueue queue : queues.values()) {
 			if (!queue.isEmpty()) {
 				return true;
@@ -109,9 +111,9 @@
 		return false;
 	}
 
-	private static Waiting peek(Map<ServiceName, FairQueue> queues, Predicate<RequestId> startable) {
+	private static AdmittedRequest peek(Map<ServiceName, FairQueue> queues, Predicate<RequestId> startable) {
 		for (FairQueue queue : queues.values()) {
-			Waiting found = queue.isEmpty() ? null : queue.peek(startable);
+			AdmittedRequest found = queue.isEmpty() ? null : queue.peek(startable);
 			if (found != null) {
 				return found;
 			}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Whether and when a request may go on.
+ * Admission control: whether a request is accepted and when it may start.
  */
 package org.bramleyscale.internal.admission;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/admission/Accounts.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/admission/AccountConfiguration.java
@@ -12,12 +12,12 @@
 import org.bramleyscale.internal.configuration.Rules;
 
 /**
- * A configuration that holds client accounts only and doesn't change.
+ * A constant configuration that contains client accounts only.
  */
-record Accounts(Configuration current) implements ConfigurationSource {
+record AccountConfiguration(Configuration current) implements ConfigurationSource {
 
-	static Accounts of(AccountRule... accounts) {
-		return new Accounts(new Configuration(1, Register.EMPTY, new Rules(Set.of(), List.of(accounts))));
+	static AccountConfiguration of(AccountRule... accounts) {
+		return new AccountConfiguration(new Configuration(1, Register.EMPTY, new Rules(Set.of(), List.of(accounts))));
 	}
 
 	static AccountRule unlimited(String name, int weight) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/admission/AccountLimitsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/admission/AccountLimitsTests.java
@@ -10,23 +10,23 @@
 	private static final long SECOND = 1_000_000_000;
 
 	/**
-	 * Symptom: an account exceeds its limit for as long as the fleet is cut in two.
-	 * Sequence: one entry gets nearly the whole limit as its share; it is cut off; the
-	 * home gives that share to others. Cause: a share that doesn't expire.
+	 * An account exceeds its limit for the whole duration of a network partition if
+	 * shares don't expire: one daemon has nearly the whole limit as its share and is
+	 * disconnected from the home daemon, which then assigns that share to others.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "900, 1, 900", "900, 7, 300", "100, 7, 100", "0, 1, 3", "5000, 1, 900" })
-	void fallsBackToAnEqualPartOnceTheShareExpired(double share, long atSeconds, double rate) {
-		AccountRule rule = Accounts.limited("desk", 1, 900, 9_000, 3);
+	void fallsBackToAnEqualShareOnceTheShareHasExpired(double share, long atSeconds, double rate) {
+		AccountRule rule = AccountConfiguration.limited("desk", 1, 900, 9_000, 3);
 		AccountLimits limits = new AccountLimits();
-		limits.share(rule.name(), share, 6 * SECOND);
+		limits.setShare(rule.name(), share, 6 * SECOND);
 		Truth.assertThat(limits.bucket(rule, atSeconds * SECOND).rate()).isEqualTo(rate);
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "1, 900", "3, 300" })
-	void startsWithAnEqualPart(int entries, double rate) {
-		AccountRule rule = Accounts.limited("desk", 1, 900, 9_000, entries);
+	void startsWithAnEqualShare(int entries, double rate) {
+		AccountRule rule = AccountConfiguration.limited("desk", 1, 900, 9_000, entries);
 		Truth.assertThat(new AccountLimits().bucket(rule, 0).rate()).isEqualTo(rate);
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/admission/FairAdmissionTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/admission/FairAdmissionTests.java
@@ -44,11 +44,11 @@
 	@CsvSource({ "1, 1", "1, 3", "2, 1" })
 	void sharesTokensByWeightWithinTenPercentUnderContention(int firstWeight, int secondWeight)
 			throws ServingException {
-		FairAdmission admission = admission(Accounts.unlimited("first", firstWeight),
-				Accounts.unlimited("second", secondWeight));
+		FairAdmission admission = admission(AccountConfiguration.unlimited("first", firstWeight),
+				AccountConfiguration.unlimited("second", secondWeight));
 		Random lengths = new Random(1);
-		// The first account floods with many requests of all lengths, the second keeps
-		// just enough waiting.
+		// The first account has a large backlog of all lengths, the second keeps only a
+		// few requests waiting.
 		for (int i = 0; i < 3_000; i++) {
 			admit(admission, "first", HIRE, 1_000 + lengths.nextInt(60_000));
 		}
@@ -67,14 +67,15 @@
 	}
 
 	/**
-	 * Symptom: quotes take as long as the summary before them. Sequence: an account's
-	 * manual waits for memory; a quote of the same account, then one of another, arrive.
-	 * Cause: one line for all lengths, in which nothing passes a head that can't start.
+	 * Short prompts take as long as a long one ahead of them if all lengths share one
+	 * queue whose head can't start: a long prompt waits for memory, then a short one of
+	 * the same account or of another arrives.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "first", "second" })
-	void letsShortPromptsPassALongOneThatCannotStart(String account) throws ServingException {
-		FairAdmission admission = admission(Accounts.unlimited("first", 1), Accounts.unlimited("second", 1));
+	void shortPromptsStartBeforeALongOneThatCannotStart(String account) throws ServingException {
+		FairAdmission admission = admission(AccountConfiguration.unlimited("first", 1),
+				AccountConfiguration.unlimited("second", 1));
 		RequestId manual = admit(admission, "first", HIRE, 300_000);
 		RequestId quote = admit(admission, account, HIRE, 500);
 		Truth.assertThat(admission.next((id) -> !id.equals(manual))).isEqualTo(Optional.of(quote));
@@ -83,8 +84,8 @@
 	}
 
 	@Test
-	void triesOnlyAFewHeadsHoweverManyWait() throws ServingException {
-		FairAdmission admission = admission(Accounts.unlimited("first", 1));
+	void triesABoundedNumberOfHeadsHoweverManyRequestsWait() throws ServingException {
+		FairAdmission admission = admission(AccountConfiguration.unlimited("first", 1));
 		for (int i = 0; i < 2_000; i++) {
 			admit(admission, "first", HIRE, 100 + 50 * i);
 		}
@@ -97,20 +98,20 @@
 	}
 
 	@Test
-	void letsAFullServiceHoldUpNoOther() throws ServingException {
-		FairAdmission admission = admission(Accounts.unlimited("first", 1));
+	void serviceWithoutCapacityDoesNotBlockOthers() throws ServingException {
+		FairAdmission admission = admission(AccountConfiguration.unlimited("first", 1));
 		RequestId quote = admit(admission, "first", HIRE, 500);
 		RequestId booking = admit(admission, "first", YARD, 0);
 		Truth.assertThat(admission.next((id) -> !id.equals(quote))).isEqualTo(Optional.of(booking));
 	}
 
 	/**
-	 * Symptom: summaries never start on a busy day. Sequence: an urgent service always
-	 * has another request waiting. Cause: strict priority without a share for the rest.
+	 * With strict priority, normal requests never start while an urgent service always
+	 * has another request waiting.
 	 */
 	@Test
-	void startsUrgentWorkFirstButLeavesAShareToTheRest() throws ServingException {
-		FairAdmission admission = admission(Accounts.unlimited("first", 1));
+	void startsUrgentRequestsFirstButLeavesAShareToOthers() throws ServingException {
+		FairAdmission admission = admission(AccountConfiguration.unlimited("first", 1));
 		long normal = 0;
 		long urgent = 0;
 		for (int i = 0; i < 2_000; i++) {
@@ -125,8 +126,8 @@
 	}
 
 	@Test
-	void refusesAtOnceAndTellsWhenTheLimitAllowsIt() throws ServingException {
-		FairAdmission admission = admission(Accounts.limited("desk", 1, 1_000, 5_000, 1));
+	void refusesRequestsOverTheLimitWithTheTimeToRetry() throws ServingException {
+		FairAdmission admission = admission(AccountConfiguration.limited("desk", 1, 1_000, 5_000, 1));
 		admit(admission, "desk", HIRE, 4_000);
 		ServingException refusal = refusal(admission, "desk", HIRE, 3_000);
 		Truth.assertThat(refusal.code()).isEqualTo(ErrorCode.RATE_LIMITED);
@@ -140,19 +141,19 @@
 	}
 
 	@Test
-	void refusesWhatCannotFinishInTime() {
-		FairAdmission admission = admission(Accounts.unlimited("first", 1));
-		AdmissionRequest late = new AdmissionRequest(nextId(), new ClientAccountId("first"), HIRE, 100, 100, false,
+	void refusesRequestsThatCannotFinishBeforeTheDeadline() {
+		FairAdmission admission = admission(AccountConfiguration.unlimited("first", 1));
+		AdmissionRequest request = new AdmissionRequest(nextId(), new ClientAccountId("first"), HIRE, 100, 100, false,
 				Duration.ofSeconds(10), Duration.ofSeconds(11), Duration.ofSeconds(12));
-		ServingException refusal = refusal(admission, late);
+		ServingException refusal = refusal(admission, request);
 		Truth.assertThat(refusal.code()).isEqualTo(ErrorCode.DEADLINE_TOO_SHORT);
 		Truth.assertThat(refusal.retryAfter().orElseThrow()).isAtLeast(Duration.ofSeconds(1));
 		Truth.assertThat(admission.waiting()).isEqualTo(0);
 	}
 
 	@Test
-	void countsTheQueueAheadAgainstTheDeadline() throws ServingException {
-		FairAdmission admission = admission(Accounts.unlimited("first", 1));
+	void countsQueueingTimeAgainstTheDeadline() throws ServingException {
+		FairAdmission admission = admission(AccountConfiguration.unlimited("first", 1));
 		for (int i = 0; i < 30; i++) {
 			admit(admission, "first", HIRE, 1_000);
 		}
@@ -160,17 +161,18 @@
 			this.scheduler.advance(Duration.ofSeconds(1));
 			admission.next(ANY);
 		}
-		AdmissionRequest hasty = new AdmissionRequest(nextId(), new ClientAccountId("first"), HIRE, 1_000, 0, false,
+		AdmissionRequest request = new AdmissionRequest(nextId(), new ClientAccountId("first"), HIRE, 1_000, 0, false,
 				Duration.ofSeconds(5), Duration.ofSeconds(1), Duration.ofSeconds(1));
-		ServingException refusal = refusal(admission, hasty);
+		ServingException refusal = refusal(admission, request);
 		Truth.assertThat(refusal.code()).isEqualTo(ErrorCode.DEADLINE_TOO_SHORT);
 		Truth.assertThat(refusal.retryAfter().orElseThrow()).isAtLeast(Duration.ofSeconds(12));
 	}
 
 	@Test
-	void boundsHowManyWait() throws ServingException {
+	void boundsTheNumberOfWaitingRequests() throws ServingException {
 		FairAdmission admission = FairAdmission
-			.builder(this.scheduler, Accounts.of(Accounts.unlimited("first", 1)), new MetricRegistry())
+			.builder(this.scheduler, AccountConfiguration.of(AccountConfiguration.unlimited("first", 1)),
+					new MetricRegistry())
 			.mostWaiting(2)
 			.build();
 		admit(admission, "first", HIRE, 100);
@@ -183,8 +185,8 @@
 	}
 
 	@Test
-	void givesBackWhatWasNotUsed() throws ServingException {
-		FairAdmission admission = admission(Accounts.limited("desk", 1, 1_000, 5_000, 1));
+	void refundsUnusedTokens() throws ServingException {
+		FairAdmission admission = admission(AccountConfiguration.limited("desk", 1, 1_000, 5_000, 1));
 		RequestId withdrawn = admit(admission, "desk", HIRE, 5_000);
 		admission.withdraw(withdrawn);
 		RequestId failed = admit(admission, "desk", HIRE, 5_000);
@@ -200,13 +202,13 @@
 
 	@Test
 	void refusesAnAccountWithoutARule() {
-		FairAdmission admission = admission(Accounts.unlimited("first", 1));
+		FairAdmission admission = admission(AccountConfiguration.unlimited("first", 1));
 		ServingException refusal = refusal(admission, "stranger", HIRE, 1);
 		Truth.assertThat(refusal.code()).isEqualTo(ErrorCode.UNAUTHORIZED);
 	}
 
 	private FairAdmission admission(AccountRule... rules) {
-		return FairAdmission.builder(this.scheduler, Accounts.of(rules), new MetricRegistry()).build();
+		return FairAdmission.builder(this.scheduler, AccountConfiguration.of(rules), new MetricRegistry()).build();
 	}
 
 	private RequestId admit(FairAdmission admission, String account, ServiceName service, int promptTokens)
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/admission/LimitSharesTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/admission/LimitSharesTests.java
@@ -35,22 +35,22 @@
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
-	private final List<Entry> entries = new ArrayList<>();
+	private final List<Daemon> daemons = new ArrayList<>();
 
 	private InMemoryPeerHub hub;
 
 	@BeforeEach
-	void startEntries() {
+	void startDaemons() {
 		MessageCatalog.Builder catalog = MessageCatalog.builder();
 		AdmissionMessages.register(catalog);
 		this.hub = new InMemoryPeerHub(this.scheduler, new MessageCodec(catalog.build()), Duration.ofMillis(1));
 		for (int i = 0; i < 3; i++) {
-			this.entries.add(new Entry(i));
+			this.daemons.add(new Daemon(i));
 		}
 	}
 
 	@Test
-	void movesTheLimitToWhereTheDemandIs() {
+	void sharesFollowDemand() {
 		load(Duration.ofSeconds(20), 15_000, 100, 100);
 		long[] taken = load(Duration.ofSeconds(20), 15_000, 100, 100);
 		double first = taken[0] / 20.0;
@@ -59,12 +59,12 @@
 	}
 
 	/**
-	 * Symptom: an account gets twice its limit after a cut between entries. Sequence: the
-	 * whole demand is at one entry, which loses its connection to the home and keeps its
-	 * share; the home gives the limit to the others. Cause: shares without expiry.
+	 * An account gets twice its limit during a network partition if shares don't expire:
+	 * the daemon with all of the demand is disconnected from the home daemon and keeps
+	 * its share, while the home daemon assigns the limit to the others.
 	 */
 	@Test
-	void boundsTheOvershootWhileAnEntryIsCutOff() {
+	void boundsTheExcessWhileADaemonIsPartitioned() {
 		load(Duration.ofSeconds(20), 100, 100, 15_000);
 		this.hub.cut(vm(0), vm(2));
 		load(Duration.ofSeconds(10), 15_000, 15_000, 15_000);
@@ -74,7 +74,7 @@
 	}
 
 	@Test
-	void staysWithinTheLimitWhenTheHomeIsGone() {
+	void staysWithinTheLimitAfterACrashOfTheHomeDaemon() {
 		load(Duration.ofSeconds(10), 15_000, 15_000, 15_000);
 		this.hub.kill(vm(0));
 		load(Duration.ofSeconds(10), 0, 15_000, 15_000);
@@ -87,7 +87,7 @@
 		long[] taken = new long[tokensPerSecond.length];
 		for (int step = 0; step < span.toSeconds() * 10; step++) {
 			for (int i = 0; i < tokensPerSecond.length; i++) {
-				taken[i] += this.entries.get(i).ask(tokensPerSecond[i] / 10);
+				taken[i] += this.daemons.get(i).submit(tokensPerSecond[i] / 10);
 			}
 			this.scheduler.advance(Duration.ofMillis(100));
 		}
@@ -116,9 +116,9 @@
 	}
 
 	/**
-	 * One entry with its admission and its part in splitting limits.
+	 * One daemon with its admission and its exchange of limit shares.
 	 */
-	private final class Entry {
+	private final class Daemon {
 
 		private final Incarnation self;
 
@@ -126,19 +126,20 @@
 
 		private long issued;
 
-		private Entry(int number) {
+		private Daemon(int number) {
 			this.self = new Incarnation(vm(number), 1);
-			Accounts accounts = Accounts.of(Accounts.limited(DESK.value(), 1, LIMIT, 3_000, 3));
+			AccountConfiguration accounts = AccountConfiguration
+				.of(AccountConfiguration.limited(DESK.value(), 1, LIMIT, 3_000, 3));
 			this.admission = FairAdmission.builder(LimitSharesTests.this.scheduler, accounts, new MetricRegistry())
 				.build();
 			InMemoryPeerNetwork network = LimitSharesTests.this.hub.join(this.self);
-			new LimitShares(LimitSharesTests.this.scheduler, new Self(this.self), (account) -> addresses(), accounts,
-					network, this.admission);
+			new LimitShares(LimitSharesTests.this.scheduler, new SingleDaemonView(this.self), (account) -> addresses(),
+					accounts, network, this.admission);
 		}
 
-		private long ask(int tokens) {
+		private long submit(int tokens) {
 			long taken = 0;
-			for (int asked = 0; asked + REQUEST_TOKENS <= tokens; asked += REQUEST_TOKENS) {
+			for (int submitted = 0; submitted + REQUEST_TOKENS <= tokens; submitted += REQUEST_TOKENS) {
 				RequestId id = new RequestId(this.self, Long.toString(this.issued++));
 				try {
 					this.admission.admit(new AdmissionRequest(id, DESK, new ServiceName("hire"), REQUEST_TOKENS, 0,
@@ -157,9 +158,9 @@
 	}
 
 	/**
-	 * A view that knows only its own daemon.
+	 * A membership view that contains only the daemon itself.
 	 */
-	private record Self(Incarnation self) implements MembershipView {
+	private record SingleDaemonView(Incarnation self) implements MembershipView {
 
 		@Override
 		public DataCentre dataCentre() {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/admission/LimitSplitTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/admission/LimitSplitTests.java
@@ -14,7 +14,7 @@
 
 	@ParameterizedTest
 	@MethodSource("splits")
-	void servesSmallDemandsFirstAndSpreadsTheRest(double[] demands, double[] shares) {
+	void satisfiesSmallDemandsFirstAndDistributesTheRemainderEvenly(double[] demands, double[] shares) {
 		double[] split = LimitSplit.split(90, demands);
 		Truth.assertThat(split).usingTolerance(TOLERANCE).containsExactly(shares).inOrder();
 		Truth.assertThat(Arrays.stream(split).sum()).isWithin(TOLERANCE).of(90);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/admission/RatioTokenEstimatorTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/admission/RatioTokenEstimatorTests.java
@@ -15,12 +15,12 @@
 	private final RatioTokenEstimator estimator = new RatioTokenEstimator();
 
 	/**
-	 * Symptom: grants for Vietnamese prompts are too small and engines refuse them.
-	 * Sequence: the model is used with English text first, then with Vietnamese. Cause:
-	 * one ratio of bytes to tokens for both, though Vietnamese text needs more tokens.
+	 * Grants for Vietnamese prompts are too small, and engines refuse the prompts, if a
+	 * model has one ratio of bytes to tokens that was learnt from English text:
+	 * Vietnamese text needs more tokens.
 	 */
 	@Test
-	void keepsTheRatiosOfEnglishAndVietnameseApart() {
+	void learnsSeparateRatiosForEnglishAndVietnamese() {
 		int english = ENGLISH.length() / 4;
 		int vietnamese = VIETNAMESE.length() / 2;
 		for (int i = 0; i < 30; i++) {
@@ -34,13 +34,13 @@
 	}
 
 	@Test
-	void assumesTheDensestKnownTextForAnUnknownKind() {
+	void usesTheLowestKnownRatioForAnUnknownScript() {
 		this.estimator.learn(MODEL, ENGLISH, ENGLISH.length() / 2);
 		Truth.assertThat(this.estimator.estimate(MODEL, "越南语".repeat(100))).isAtLeast(450);
 	}
 
 	@Test
-	void keepsModelsApartAndSurvivesNonsense() {
+	void learnsPerModelAndToleratesInvalidSamples() {
 		this.estimator.learn(MODEL, ENGLISH, 0);
 		this.estimator.learn(MODEL, "", 10);
 		this.estimator.learn(MODEL, ENGLISH, 1);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/admission/TokenBucketTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/admission/TokenBucketTests.java
@@ -13,10 +13,10 @@
 
 	@ParameterizedTest
 	@CsvSource({ "100, 0", "400, 0", "500, 2000", "1000, 2000" })
-	void tellsTheTimeAtWhichTheRequestFits(double tokens, long millis) {
+	void returnsTheTimeUntilARequestIsAllowed(double tokens, long millis) {
 		TokenBucket bucket = new TokenBucket(50, 500, 0);
 		bucket.take(100);
-		Duration wait = bucket.until(tokens, 0);
+		Duration wait = bucket.waitTime(tokens, 0);
 		Truth.assertThat(wait.toMillis()).isEqualTo(millis);
 		Truth.assertThat(bucket.holds(tokens, wait.toNanos())).isTrue();
 		if (millis > 0) {
@@ -25,15 +25,15 @@
 	}
 
 	@Test
-	void paysBackTheDebtOfARequestLargerThanTheBurst() {
+	void delaysLaterRequestsAfterARequestLargerThanTheBurst() {
 		TokenBucket bucket = new TokenBucket(50, 500, 0);
 		bucket.take(1_000);
-		Truth.assertThat(bucket.until(100, 0)).isEqualTo(Duration.ofSeconds(12));
+		Truth.assertThat(bucket.waitTime(100, 0)).isEqualTo(Duration.ofSeconds(12));
 		Truth.assertThat(bucket.holds(100, 12 * SECOND)).isTrue();
 	}
 
 	@Test
-	void keepsNoMoreThanASmallerBurst() {
+	void reducesTheLevelToASmallerBurst() {
 		TokenBucket bucket = new TokenBucket(50, 500, 0);
 		bucket.limit(10, 60, 0);
 		Truth.assertThat(bucket.level(SECOND)).isEqualTo(60.0);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/admission/WaitingWorkTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/admission/WaitingWorkTests.java
@@ -34,7 +34,7 @@
 		.build();
 
 	@Test
-	void countsByServiceWhatWaitsAndForHowLong() throws ServingException {
+	void reportsNumberAndAgeOfWaitingRequestsByService() throws ServingException {
 		Truth.assertThat(this.admission.waitingWork()).isEmpty();
 		admit("entry-1~a~1", YARD, false);
 		this.scheduler.advance(Duration.ofSeconds(2));
