--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AccountDemand.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AccountDemand.java
@@ -18,7 +18,7 @@
 		tokensPerSecond = List.copyOf(tokensPerSecond);
 		if (accounts.size() != tokensPerSecond.size()) {
 			throw new IllegalArgumentException(
-					"an account demand has " + accounts.size() + " accounts but " + tokensPerSecond.size() + " rates");
+					accounts.size() + " accounts but " + tokensPerSecond.size() + " rates in an account demand");
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AccountShares.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AccountShares.java
@@ -20,7 +20,7 @@
 		tokensPerSecond = List.copyOf(tokensPerSecond);
 		if (accounts.size() != tokensPerSecond.size()) {
 			throw new IllegalArgumentException(
-					"account shares have " + accounts.size() + " accounts but " + tokensPerSecond.size() + " rates");
+					accounts.size() + " accounts but " + tokensPerSecond.size() + " rates in account shares");
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/FairAdmission.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/FairAdmission.java
@@ -203,7 +203,7 @@
 	private void checkQueueCapacity(AdmissionRequest request) throws ServingException {
 		if (waiting() >= this.maxWaiting) {
 			Duration wait = Duration.ofMillis((long) (this.queues.queueingSeconds(request) * 1000));
-			throw refusal(ErrorCode.OVERLOADED, "queue is full: " + waiting() + " requests are waiting", wait);
+			throw refusal(ErrorCode.OVERLOADED, waiting() + " requests are waiting, which is the maximum", wait);
 		}
 	}
 
