--- a/bench/src/main/java/org/bramleyscale/bench/routing/Contender.java
+++ b/bench/src/main/java/org/bramleyscale/bench/routing/Contender.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 import org.bramleyscale.internal.routing.RoutingPolicy;
-import org.bramleyscale.internal.routing.SpeedLearner;
+import org.bramleyscale.internal.routing.SpeedEstimator;
 import org.bramleyscale.internal.time.Clock;
 
 /**
@@ -29,7 +29,7 @@
 	@FunctionalInterface
 	interface PolicyFactory {
 
-		RoutingPolicy create(Clock clock, int entry, SpeedLearner speeds);
+		RoutingPolicy create(Clock clock, int entry, SpeedEstimator speeds);
 
 	}
 
--- a/bench/src/main/java/org/bramleyscale/bench/routing/Contenders.java
+++ b/bench/src/main/java/org/bramleyscale/bench/routing/Contenders.java
@@ -7,9 +7,9 @@
 
 import org.bramleyscale.internal.routing.PredictivePolicy;
 import org.bramleyscale.internal.routing.RoutingPolicy;
-import org.bramleyscale.internal.routing.SpeedLearner;
+import org.bramleyscale.internal.routing.SpeedEstimator;
 import org.bramleyscale.internal.routing.baseline.LeastInFlightPolicy;
-import org.bramleyscale.internal.routing.baseline.PrefixHomePolicy;
+import org.bramleyscale.internal.routing.baseline.PrefixAffinityPolicy;
 import org.bramleyscale.internal.routing.baseline.RandomPolicy;
 import org.bramleyscale.internal.routing.baseline.RoundRobinPolicy;
 import org.bramleyscale.internal.routing.baseline.TwoChoicesPolicy;
@@ -43,7 +43,7 @@
 				new Contender("round-robin", (clock, entry, speeds) -> new RoundRobinPolicy(), Set.of()),
 				LEAST_IN_FLIGHT,
 				new Contender("two-choices", (clock, entry, speeds) -> new TwoChoicesPolicy(), Set.of()),
-				new Contender("prefix-home", (clock, entry, speeds) -> new PrefixHomePolicy(),
+				new Contender("prefix-home", (clock, entry, speeds) -> new PrefixAffinityPolicy(),
 						Set.of(Mechanism.AFFINITY)),
 				new Contender("two-hashed", (clock, entry, speeds) -> new TwoHashedPolicy(),
 						Set.of(Mechanism.AFFINITY, Mechanism.OWN_WORK)));
@@ -61,7 +61,7 @@
 		return new Contender(name, (clock, entry, speeds) -> policy(clock, entry, speeds, mechanisms), mechanisms);
 	}
 
-	private static RoutingPolicy policy(Clock clock, int entry, SpeedLearner speeds, Set<Mechanism> mechanisms) {
+	private static RoutingPolicy policy(Clock clock, int entry, SpeedEstimator speeds, Set<Mechanism> mechanisms) {
 		return PredictivePolicy.builder(clock)
 			.position(() -> mechanisms.contains(Mechanism.ENTRY_HOMES) ? entry : 0)
 			.speeds(speeds)
--- a/bench/src/main/java/org/bramleyscale/bench/routing/FakePool.java
+++ b/bench/src/main/java/org/bramleyscale/bench/routing/FakePool.java
@@ -10,7 +10,7 @@
 import org.bramleyscale.internal.endpoint.Observation;
 import org.bramleyscale.internal.routing.Candidate;
 import org.bramleyscale.internal.routing.EndpointHealth;
-import org.bramleyscale.internal.routing.SpeedLearner;
+import org.bramleyscale.internal.routing.SpeedEstimator;
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
@@ -30,7 +30,7 @@
 
 	private final Contender contender;
 
-	private final SpeedLearner speeds = new SpeedLearner();
+	private final SpeedEstimator speeds = new SpeedEstimator();
 
 	private final EndpointHealth health;
 
@@ -62,7 +62,7 @@
 		this.reportedAt[engine] = at;
 	}
 
-	SpeedLearner speeds() {
+	SpeedEstimator speeds() {
 		return this.speeds;
 	}
 
@@ -124,7 +124,7 @@
 			for (Send send : open) {
 				long waited = this.scheduler.nanos() - send.at;
 				if (send.first == 0 && send.predictedNanos > 0 && waited > send.predictedNanos) {
-					this.health.overdue(this.ids.get(send.engine), Duration.ofNanos(waited),
+					this.health.observeOverdue(this.ids.get(send.engine), Duration.ofNanos(waited),
 							Duration.ofNanos(send.predictedNanos));
 				}
 			}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AccountLimits.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/AccountLimits.java
@@ -58,7 +58,7 @@
 		if (account.bucket == null) {
 			account.bucket = new TokenBucket(rate, burst, now);
 		}
-		account.bucket.limit(rate, burst, now);
+		account.bucket.setLimit(rate, burst, now);
 		return account.bucket;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/Admission.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/Admission.java
@@ -57,6 +57,6 @@
 	 * @param tokensPerSecond the share
 	 * @param validFor how long the share is valid; then an equal share applies
 	 */
-	void share(ClientAccountId account, double tokensPerSecond, Duration validFor);
+	void setShare(ClientAccountId account, double tokensPerSecond, Duration validFor);
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/FairAdmission.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/FairAdmission.java
@@ -64,7 +64,7 @@
 		this.scheduler = builder.scheduler;
 		this.configuration = builder.configuration;
 		this.metrics = builder.metrics;
-		this.maxWaiting = builder.mostWaiting;
+		this.maxWaiting = builder.maxWaiting;
 		this.queues = new UrgencyQueues(builder.urgentShare);
 		this.metrics.gauge("admission.waiting", () -> (Gauge<Integer>) this::waiting);
 		this.scheduler.repeat(CLEANUP_INTERVAL,
@@ -132,7 +132,7 @@
 	}
 
 	@Override
-	public void share(ClientAccountId account, double tokensPerSecond, Duration validFor) {
+	public void setShare(ClientAccountId account, double tokensPerSecond, Duration validFor) {
 		if (!(tokensPerSecond >= 0)) {
 			throw new IllegalArgumentException("share must not be negative, was " + tokensPerSecond);
 		}
@@ -208,7 +208,7 @@
 	}
 
 	private void checkLimit(AdmissionRequest request, TokenBucket bucket, long cost, long now) throws ServingException {
-		if (bucket != null && !bucket.holds(cost, now)) {
+		if (bucket != null && !bucket.canTake(cost, now)) {
 			throw refusal(ErrorCode.RATE_LIMITED,
 					String.format(Locale.ROOT,
 							"account '%s' exceeds its limit of %.0f tokens per second at this daemon",
@@ -247,7 +247,7 @@
 
 		private final MetricRegistry metrics;
 
-		private int mostWaiting = 10_000;
+		private int maxWaiting = 10_000;
 
 		private double urgentShare = 0.8;
 
@@ -262,11 +262,11 @@
 		 * @param max the number, at least 1
 		 * @return this builder
 		 */
-		public Builder mostWaiting(int max) {
+		public Builder maxWaiting(int max) {
 			if (max < 1) {
 				throw new IllegalArgumentException("maximum number of waiting requests must be at least 1, was " + max);
 			}
-			this.mostWaiting = max;
+			this.maxWaiting = max;
 			return this;
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/LimitShares.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/LimitShareExchange.java
@@ -29,7 +29,7 @@
  * share, so during a network partition an account can exceed its limit by at most the
  * equal shares of the daemons on the other side. Confined to the scheduler's thread.
  */
-public final class LimitShares {
+public final class LimitShareExchange {
 
 	private static final Duration INTERVAL = Duration.ofSeconds(2);
 
@@ -62,7 +62,7 @@
 	/** As home daemon: the demand reported by each daemon, by account. */
 	private final Map<ClientAccountId, Map<VmId, ReportedDemand>> reported = new HashMap<>();
 
-	public LimitShares(Scheduler scheduler, MembershipView membership, AddressBook addresses,
+	public LimitShareExchange(Scheduler scheduler, MembershipView membership, AddressBook addresses,
 			ConfigurationSource configuration, PeerNetwork network, FairAdmission admission) {
 		this.scheduler = scheduler;
 		this.membership = membership;
@@ -130,7 +130,7 @@
 	private void received(Incarnation from, AccountShares shares) {
 		Duration validFor = Duration.ofMillis(shares.validForMillis());
 		for (int i = 0; i < shares.accounts().size(); i++) {
-			this.admission.share(new ClientAccountId(shares.accounts().get(i)), shares.tokensPerSecond().get(i),
+			this.admission.setShare(new ClientAccountId(shares.accounts().get(i)), shares.tokensPerSecond().get(i),
 					validFor);
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/TokenBucket.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/TokenBucket.java
@@ -34,7 +34,7 @@
 	 * @param newBurst the maximum number of accumulated tokens
 	 * @param now the time
 	 */
-	public void limit(double newRate, double newBurst, long now) {
+	public void setLimit(double newRate, double newBurst, long now) {
 		if (newRate == this.rate && newBurst == this.burst) {
 			return;
 		}
@@ -53,7 +53,7 @@
 		return this.level;
 	}
 
-	public boolean holds(double tokens, long now) {
+	public boolean canTake(double tokens, long now) {
 		refill(now);
 		return this.level >= needed(tokens);
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/DemandItem.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/DemandItem.java
@@ -21,9 +21,10 @@
  * @param models the hash of the newest model list that the entry has; 0 if none
  * @param collection the number of the latest memory collection received with a grant
  * (freed memory being set aside for a waiting reservation); 0 if none
- * @param olderKv KV tokens of its requests started before it received that number
+ * @param kvBeforeCollection KV tokens of its requests started before it received that
+ * number
  */
 public record DemandItem(EndpointId endpoint, int shard, long epoch, long grant, int heldSlots, long heldKv,
 		int inFlight, long kvInUse, int slotsWanted, long kvWanted, long kvLargest, boolean leaving, int models,
-		int collection, long olderKv) {
+		int collection, long kvBeforeCollection) {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/EndpointPool.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/EndpointPool.java
@@ -45,7 +45,7 @@
 	 * @param model the model, or null for a plain service
 	 * @param kvTokens the most memory the request may need, in tokens
 	 */
-	default void wanted(ServiceName service, ModelName model, long kvTokens) {
+	default void requestCapacity(ServiceName service, ModelName model, long kvTokens) {
 	}
 
 	/**
@@ -53,7 +53,7 @@
 	 * @param endpoint the endpoint
 	 * @param observation the measurements of the attempt
 	 */
-	void observed(EndpointId endpoint, Observation observation);
+	void recordAttempt(EndpointId endpoint, Observation observation);
 
 	/**
 	 * Reports that an attempt's first token is long overdue. Callers repeat the report
@@ -62,13 +62,13 @@
 	 * @param waited the time since the attempt was sent
 	 * @param predicted the time to first token that was predicted when it was sent
 	 */
-	default void overdue(EndpointId endpoint, Duration waited, Duration predicted) {
+	default void recordOverdue(EndpointId endpoint, Duration waited, Duration predicted) {
 	}
 
 	/**
 	 * Adds a listener that is called when capacity may have become available.
 	 * @param listener the listener
 	 */
-	void onRoom(Runnable listener);
+	void onCapacityAvailable(Runnable listener);
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/HoldTimes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/HoldTimes.java
@@ -12,7 +12,7 @@
 	public static final Duration RENEW_PERIOD = Duration.ofSeconds(2);
 
 	/** The time without a message from a holder after which an owner ends its holds. */
-	public static final Duration SILENCE = Duration.ofSeconds(6);
+	public static final Duration HOLDER_TIMEOUT = Duration.ofSeconds(6);
 
 	/** The interval at which an owner renews the holds of a live holder at the engine. */
 	public static final Duration ENGINE_RENEW_PERIOD = Duration.ofSeconds(10);
@@ -32,13 +32,13 @@
 	 * The longest time until memory is free after its holder crashed or released it, even
 	 * if a message or a call was lost, given a live owner that holds its lease.
 	 */
-	public static final Duration MAX_RETENTION_WITH_OWNER = SILENCE.plus(RECONCILE_PERIOD).plus(CALL_TIMEOUT);
+	public static final Duration MAX_RETENTION_WITH_OWNER = HOLDER_TIMEOUT.plus(RECONCILE_PERIOD).plus(CALL_TIMEOUT);
 
 	/**
 	 * The longest time until memory is free after its holder crashed, whatever else
 	 * fails.
 	 */
-	public static final Duration FREED_ALWAYS = SILENCE.plus(ENGINE_LIFETIME).plus(CALL_TIMEOUT);
+	public static final Duration MAX_RETENTION = HOLDER_TIMEOUT.plus(ENGINE_LIFETIME).plus(CALL_TIMEOUT);
 
 	private HoldTimes() {
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/OwnerlessShare.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/OwnerlessShare.java
@@ -15,7 +15,7 @@
 public final class OwnerlessShare {
 
 	/** The time without an owner after which an entry may use the equal split. */
-	public static final Duration SETTLED = Duration.ofSeconds(10);
+	public static final Duration EQUAL_SPLIT_DELAY = Duration.ofSeconds(10);
 
 	private OwnerlessShare() {
 	}
@@ -31,7 +31,7 @@
 	 * @return the amount that may be used, including requests in flight
 	 */
 	public static Amount of(Amount granted, Amount equal, Amount floor, long sinceExpiry, long lifetime) {
-		if (sinceExpiry >= SETTLED.toNanos()) {
+		if (sinceExpiry >= EQUAL_SPLIT_DELAY.toNanos()) {
 			return equal.max(floor);
 		}
 		return granted.halved(1 + sinceExpiry / Math.max(1, lifetime)).max(floor);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Permit.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Permit.java
@@ -17,7 +17,7 @@
 	 * Reports that the first token has arrived, so that the prompt no longer counts as
 	 * waiting for prefill.
 	 */
-	void firstToken();
+	void firstTokenReceived();
 
 	@Override
 	void close();
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Reservations.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Reservations.java
@@ -39,7 +39,7 @@
 	 * @param model the model
 	 * @return the size in tokens, or 0 if no capacity is known yet
 	 */
-	long largest(ServiceName service, ModelName model);
+	long largestGroupTokens(ServiceName service, ModelName model);
 
 	/**
 	 * One reservation; {@link #close()} is idempotent.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/Pacing.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/SendBackoff.java
@@ -9,7 +9,7 @@
  * capacity, would flood the control traffic with messages that change nothing. Confined
  * to the scheduler's thread.
  */
-public final class Pacing {
+public final class SendBackoff {
 
 	private static final long MIN_PAUSE_NANOS = 20_000_000;
 
@@ -36,7 +36,7 @@
 	 * @param now the time in nanoseconds
 	 * @param longest the longest pause in nanoseconds
 	 */
-	public void acted(long now, long longest) {
+	public void recordSend(long now, long longest) {
 		boolean reset = now - this.lastAt > RESET_AFTER_PAUSES * this.pause;
 		this.pause = reset ? MIN_PAUSE_NANOS : Math.max(MIN_PAUSE_NANOS, Math.min(longest, 2 * this.pause));
 		this.lastAt = now;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EntryAccount.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EntryAccount.java
@@ -7,7 +7,7 @@
 import org.bramleyscale.internal.endpoint.Amount;
 import org.bramleyscale.internal.endpoint.DemandItem;
 import org.bramleyscale.internal.endpoint.OwnerlessShare;
-import org.bramleyscale.internal.endpoint.Pacing;
+import org.bramleyscale.internal.endpoint.SendBackoff;
 
 /**
  * Tracks what the owner must assume that one entry holds and uses of one endpoint.
@@ -29,7 +29,7 @@
 
 	private final Deque<Outstanding> outstanding = new ArrayDeque<>();
 
-	private final Pacing pushes = new Pacing();
+	private final SendBackoff pushes = new SendBackoff();
 
 	private DemandItem demand;
 
@@ -75,7 +75,7 @@
 	 * Returns the pacing of grants that are pushed without a demand.
 	 * @return the pacing
 	 */
-	Pacing pushes() {
+	SendBackoff pushes() {
 		return this.pushes;
 	}
 
@@ -131,7 +131,7 @@
 		if (collection == 0) {
 			return 0;
 		}
-		return (this.demand.collection() == collection) ? this.demand.olderKv() : this.demand.kvInUse();
+		return (this.demand.collection() == collection) ? this.demand.kvBeforeCollection() : this.demand.kvInUse();
 	}
 
 	Amount wanted() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/HoldReconciler.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/HoldReconciler.java
@@ -73,7 +73,7 @@
 
 	private void expireUnrenewed(MemoryHold hold, long now) {
 		long sinceContact = now - hold.lastContactAt();
-		if (sinceContact < HoldTimes.SILENCE.toNanos()) {
+		if (sinceContact < HoldTimes.HOLDER_TIMEOUT.toNanos()) {
 			return;
 		}
 		if (!hold.occupies()) {
@@ -84,14 +84,14 @@
 			// release would free the memory of a running request.
 			hold.state(MemoryHold.State.RELEASING);
 		}
-		else if (sinceContact > HoldTimes.SILENCE.plus(HoldTimes.ENGINE_LIFETIME).toNanos()) {
+		else if (sinceContact > HoldTimes.HOLDER_TIMEOUT.plus(HoldTimes.ENGINE_LIFETIME).toNanos()) {
 			this.registry.remove(hold);
 		}
 	}
 
 	private void renewOrRetry(MemoryHold hold, long now) {
 		long sinceCall = now - hold.lastCallAt();
-		boolean renewed = now - hold.lastContactAt() < HoldTimes.SILENCE.toNanos();
+		boolean renewed = now - hold.lastContactAt() < HoldTimes.HOLDER_TIMEOUT.toNanos();
 		boolean renewal = hold.state() == MemoryHold.State.HELD && renewed
 				&& sinceCall >= HoldTimes.ENGINE_RENEW_PERIOD.toNanos();
 		boolean unanswered = hold.state() == MemoryHold.State.PLACING && sinceCall >= CALL_TIMEOUT;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/OwnedEndpoint.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/OwnedEndpoint.java
@@ -143,7 +143,7 @@
 		List<Push> pushes = new ArrayList<>();
 		for (EntryAccount recipient : recipients(now)) {
 			if (leaving() || recipient.pushes().waitNanos(now) <= 0) {
-				recipient.pushes().acted(now, recipient.lifetimeMillis() * 1_000_000L / 2);
+				recipient.pushes().recordSend(now, recipient.lifetimeMillis() * 1_000_000L / 2);
 				Grant grant = new Grant(recipient.demandSentMillis(), recipient.lifetimeMillis(),
 						List.of(grant(recipient, now)));
 				pushes.add(new Push(recipient.entry(), grant));
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/DemandSender.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/DemandSender.java
@@ -115,7 +115,7 @@
 			boolean sendable = state.urgentDemands().waitNanos(now) <= 0;
 			(sendable ? due : deferred).add(state);
 		}
-		due.forEach((state) -> state.urgentDemands().acted(now, this.periodMillis * 1_000_000L));
+		due.forEach((state) -> state.urgentDemands().recordSend(now, this.periodMillis * 1_000_000L));
 		this.urgent.removeAll(Set.copyOf(due));
 		send(due);
 		deferred.forEach((state) -> flushWithin(state.urgentDemands().waitNanos(now)));
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointPermit.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointPermit.java
@@ -41,7 +41,7 @@
 	}
 
 	@Override
-	public void firstToken() {
+	public void firstTokenReceived() {
 		this.use.prefillCompleted(this.prefill);
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointState.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointState.java
@@ -13,7 +13,7 @@
 import org.bramleyscale.internal.endpoint.GrantedReport;
 import org.bramleyscale.internal.endpoint.LoadReport;
 import org.bramleyscale.internal.endpoint.OwnerlessShare;
-import org.bramleyscale.internal.endpoint.Pacing;
+import org.bramleyscale.internal.endpoint.SendBackoff;
 import org.bramleyscale.internal.endpoint.Shard;
 import org.bramleyscale.internal.routing.Candidate;
 
@@ -37,7 +37,7 @@
 
 	private final LocalUse use = new LocalUse();
 
-	private final Pacing urgentDemands = new Pacing();
+	private final SendBackoff urgentDemands = new SendBackoff();
 
 	private final UnmetDemand unmet = new UnmetDemand();
 
@@ -86,7 +86,7 @@
 	 * Returns the pacing of demands that are sent outside their period.
 	 * @return the pacing
 	 */
-	Pacing urgentDemands() {
+	SendBackoff urgentDemands() {
 		return this.urgentDemands;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/GrantedEndpointPool.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/GrantedEndpointPool.java
@@ -147,12 +147,12 @@
 	}
 
 	@Override
-	public void wanted(ServiceName service, ModelName model, long kvTokens) {
+	public void requestCapacity(ServiceName service, ModelName model, long kvTokens) {
 		this.waiting.requestRoom(service, model, kvTokens);
 	}
 
 	@Override
-	public void observed(EndpointId endpoint, Observation observation) {
+	public void recordAttempt(EndpointId endpoint, Observation observation) {
 		EndpointState state = this.directory.find(endpoint).orElse(null);
 		if (state != null) {
 			state.learner().observed(observation, this.scheduler.nanos());
@@ -160,12 +160,12 @@
 	}
 
 	@Override
-	public void overdue(EndpointId endpoint, Duration waited, Duration predicted) {
+	public void recordOverdue(EndpointId endpoint, Duration waited, Duration predicted) {
 		this.directory.find(endpoint).ifPresent((state) -> state.learner().overdue(waited, predicted));
 	}
 
 	@Override
-	public void onRoom(Runnable listener) {
+	public void onCapacityAvailable(Runnable listener) {
 		this.roomListeners.add(listener);
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/HeldShare.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/HeldShare.java
@@ -92,7 +92,7 @@
 			return OwnerlessShare.of(this.grant.amount(), equal, this.floor, since, this.grant.lifetime());
 		}
 		long unanswered = unanswered(now);
-		if (unanswered >= OwnerlessShare.SETTLED.toNanos()) {
+		if (unanswered >= OwnerlessShare.EQUAL_SPLIT_DELAY.toNanos()) {
 			return equal.max(this.floor);
 		}
 		// An entry that was idle for long may have missed that the endpoint is leaving,
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/reservation/GroupReservations.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/reservation/GroupReservations.java
@@ -50,7 +50,7 @@
  * Invariants: exactly one of the two callbacks of a reservation is called unless it is
  * closed first, and none after it was closed; its holds are renewed until it is closed,
  * and released then. A holder that fails stops renewing, which ends its holds within
- * {@link HoldTimes#FREED_ALWAYS}. Confined to the scheduler's thread.
+ * {@link HoldTimes#MAX_RETENTION}. Confined to the scheduler's thread.
  */
 public final class GroupReservations implements Reservations, StateDump {
 
@@ -132,7 +132,7 @@
 	}
 
 	@Override
-	public long largest(ServiceName service, ModelName model) {
+	public long largestGroupTokens(ServiceName service, ModelName model) {
 		return GroupPlan.holdable(candidateEngines(service, model, Set.of()));
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/LimitRegistry.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/LimitRegistry.java
@@ -116,7 +116,7 @@
 			return true;
 		}
 		TokenBucket share = share(endpoint, limit);
-		return share != null && share.holds(1, this.clock.nanos());
+		return share != null && share.canTake(1, this.clock.nanos());
 	}
 
 	void sent(EndpointStart endpoint) {
@@ -198,7 +198,7 @@
 			limit.share = new TokenBucket(rate, 1, now);
 			limit.share.take(1);
 		}
-		limit.share.limit(rate, 1, now);
+		limit.share.setLimit(rate, 1, now);
 		return limit.share;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetDirectory.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetDirectory.java
@@ -45,8 +45,8 @@
 	}
 
 	@Override
-	public Set<VmId> wanted() {
-		Set<VmId> wanted = sortedByName(this.membership.directory().wanted());
+	public Set<VmId> desiredPeers() {
+		Set<VmId> wanted = sortedByName(this.membership.directory().desiredPeers());
 		if (flat()) {
 			notDead().forEach((member) -> wanted.add(member.vm()));
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetStatus.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetStatus.java
@@ -53,7 +53,7 @@
 
 	private DaemonStatus daemon(Member member) {
 		return new DaemonStatus(member.vm(), member.dataCentre(), member.httpAddress(), member.state(),
-				this.membership.history().silence(member.vm()).toMillis(), 0, Optional.empty());
+				this.membership.history().unresponsiveFor(member.vm()).toMillis(), 0, Optional.empty());
 	}
 
 	private EndpointStatus endpoint(Backend backend) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewayNode.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewayNode.java
@@ -318,7 +318,7 @@
 
 	private RetryBudget retryWindow() {
 		return new RetryBudget(this.parts.loop(), this.settings.retryWindow(), this.settings.retryRatio(),
-				this.settings.retryConstant(), () -> Math.max(1, this.membership.expected()));
+				this.settings.retryConstant(), () -> Math.max(1, this.membership.expectedDaemonCount()));
 	}
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MemberHistory.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MemberHistory.java
@@ -17,13 +17,13 @@
 	 * @param vm its VM
 	 * @return true if it was leaving when it was declared dead
 	 */
-	boolean endedByPlan(VmId vm);
+	boolean endedAfterPlannedStop(VmId vm);
 
 	/**
 	 * For how long heartbeats of a daemon have been missing.
 	 * @param vm its VM
 	 * @return the time, accurate to a second or two, or zero if the daemon is responsive
 	 */
-	Duration silence(VmId vm);
+	Duration unresponsiveFor(VmId vm);
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipService.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/MembershipService.java
@@ -191,7 +191,7 @@
 	 * partition.
 	 * @return the number, including this daemon
 	 */
-	public int expected() {
+	public int expectedDaemonCount() {
 		return (int) this.table.all()
 			.stream()
 			.filter((entry) -> entry.health() != Health.DEAD || !entry.leaving())
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Topology.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Topology.java
@@ -70,7 +70,7 @@
 	}
 
 	@Override
-	public Set<VmId> wanted() {
+	public Set<VmId> desiredPeers() {
 		Set<VmId> wanted = new TreeSet<>(BY_NAME);
 		List<MemberEntry> present = this.table.present(this.localDataCentre);
 		if (present.size() <= this.meshLimit) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/ViewCache.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/ViewCache.java
@@ -72,12 +72,12 @@
 	}
 
 	@Override
-	public boolean endedByPlan(VmId vm) {
+	public boolean endedAfterPlannedStop(VmId vm) {
 		return this.table.get(vm).filter((entry) -> entry.leaving() && entry.health() == Health.DEAD).isPresent();
 	}
 
 	@Override
-	public Duration silence(VmId vm) {
+	public Duration unresponsiveFor(VmId vm) {
 		Duration memberTime = this.table.unresponsiveFor(vm);
 		Duration dataCentreTime = this.table.get(vm)
 			.map((entry) -> entry.identity().dataCentre())
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/node/NodeRelays.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/node/NodeRelays.java
@@ -51,7 +51,7 @@
 
 	@Override
 	public int members() {
-		return this.membership.expected();
+		return this.membership.expectedDaemonCount();
 	}
 
 	@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/node/NodeSlices.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/node/NodeSlices.java
@@ -14,7 +14,7 @@
 import org.bramleyscale.internal.address.LeaveTimes;
 import org.bramleyscale.internal.address.RendezvousAddressBook;
 import org.bramleyscale.internal.admission.FairAdmission;
-import org.bramleyscale.internal.admission.LimitShares;
+import org.bramleyscale.internal.admission.LimitShareExchange;
 import org.bramleyscale.internal.admission.RatioTokenEstimator;
 import org.bramleyscale.internal.configuration.ConfigurationService;
 import org.bramleyscale.internal.endpoint.LoopbackPeerNetwork;
@@ -32,8 +32,8 @@
 import org.bramleyscale.internal.request.RequestService;
 import org.bramleyscale.internal.request.RequestSettings;
 import org.bramleyscale.internal.routing.PredictivePolicy;
+import org.bramleyscale.internal.routing.SpeedEstimator;
 import org.bramleyscale.internal.routing.SpeedExchange;
-import org.bramleyscale.internal.routing.SpeedLearner;
 import org.bramleyscale.internal.status.FailureLog;
 import org.bramleyscale.internal.status.StateDump;
 import org.bramleyscale.internal.steward.Steward;
@@ -88,7 +88,7 @@
 
 	private final FailureLog failures;
 
-	private final SpeedLearner speeds = new SpeedLearner();
+	private final SpeedEstimator speeds = new SpeedEstimator();
 
 	private int position;
 
@@ -110,9 +110,9 @@
 		this.steward = newSteward();
 		this.addresses = new RendezvousAddressBook(this.membership, this.configuration, settings.addressKeepFor());
 		this.admission = FairAdmission.builder(this.scheduler, this.configuration, ports.metrics())
-			.mostWaiting(settings.value(SettingKey.MAX_REQUESTS))
+			.maxWaiting(settings.value(SettingKey.MAX_REQUESTS))
 			.build();
-		new LimitShares(this.scheduler, this.membership, this.addresses, this.configuration, this.network,
+		new LimitShareExchange(this.scheduler, this.membership, this.addresses, this.configuration, this.network,
 				this.admission);
 		new SpeedExchange(this.scheduler, this.membership, this.network, this.speeds);
 		this.requests = newRequests();
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/node/NodeStatus.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/node/NodeStatus.java
@@ -89,14 +89,14 @@
 		return this.node.membership()
 			.members()
 			.stream()
-			.filter((member) -> !history.endedByPlan(member.vm()))
+			.filter((member) -> !history.endedAfterPlannedStop(member.vm()))
 			.map((member) -> daemon(member, Optional.ofNullable(all.get(member.vm())),
 					Optional.ofNullable(holders.get(member.vm()))))
 			.toList();
 	}
 
 	private DaemonStatus daemon(Member member, Optional<DaemonReport> report, Optional<HoldersView.Holder> holder) {
-		long silent = this.node.membership().history().silence(member.vm()).toMillis();
+		long silent = this.node.membership().history().unresponsiveFor(member.vm()).toMillis();
 		long version = report.map(DaemonReport::version).or(() -> holder.map(HoldersView.Holder::version)).orElse(0L);
 		return new DaemonStatus(member.vm(), member.dataCentre(), member.httpAddress(), member.state(), silent, version,
 				report);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/node/SharedLearners.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/node/SharedLearners.java
@@ -17,7 +17,7 @@
 import org.bramleyscale.internal.endpoint.Observation;
 import org.bramleyscale.internal.endpoint.pool.EndpointLearner;
 import org.bramleyscale.internal.routing.EndpointHealth;
-import org.bramleyscale.internal.routing.SpeedLearner;
+import org.bramleyscale.internal.routing.SpeedEstimator;
 import org.bramleyscale.internal.time.Clock;
 
 /**
@@ -34,13 +34,13 @@
 
 	private final ConfigurationSource configuration;
 
-	private final SpeedLearner speeds;
+	private final SpeedEstimator speeds;
 
 	private final EndpointHealth health;
 
 	private final Map<ServiceName, Judgement> judgements = new HashMap<>();
 
-	SharedLearners(Clock clock, ConfigurationSource configuration, SpeedLearner speeds, MetricRegistry metrics) {
+	SharedLearners(Clock clock, ConfigurationSource configuration, SpeedEstimator speeds, MetricRegistry metrics) {
 		this.speeds = speeds;
 		this.configuration = configuration;
 		this.health = new EndpointHealth(clock, metrics);
@@ -109,7 +109,7 @@
 
 		@Override
 		public void overdue(Duration waited, Duration predicted) {
-			SharedLearners.this.health.overdue(this.endpoint, waited, predicted);
+			SharedLearners.this.health.observeOverdue(this.endpoint, waited, predicted);
 		}
 
 		@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerConnections.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerConnections.java
@@ -72,7 +72,7 @@
 	void tick() {
 		long now = this.clock.nanos();
 		forgiveOwnPause(now);
-		Set<VmId> wanted = this.directory.wanted();
+		Set<VmId> wanted = this.directory.desiredPeers();
 		for (VmId vm : wanted) {
 			if (!vm.equals(this.self)) {
 				this.states.computeIfAbsent(vm, (key) -> new PeerState(key, now));
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerDirectory.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerDirectory.java
@@ -17,7 +17,7 @@
 	 * The VMs to keep a connection with.
 	 * @return the VMs; this daemon's own is ignored
 	 */
-	Set<VmId> wanted();
+	Set<VmId> desiredPeers();
 
 	/**
 	 * Where a VM's daemon listens.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/CallRunner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/CallRunner.java
@@ -103,7 +103,7 @@
 		}
 
 		private void observe(Duration took, boolean failed) {
-			CallRunner.this.pool.observed(this.place.endpoint().name(),
+			CallRunner.this.pool.recordAttempt(this.place.endpoint().name(),
 					new Observation(0, took, this.place.predictedFirstToken(), 0, Duration.ZERO, failed));
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/Dispatcher.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/Dispatcher.java
@@ -68,7 +68,7 @@
 		this.reservations = ports.reservations();
 		this.records = records;
 		this.starter = starter;
-		this.pool.onRoom(this::askForPass);
+		this.pool.onCapacityAvailable(this::askForPass);
 		this.scheduler.repeat(WANTED_AGAIN, this::askAgainIfWaiting);
 	}
 
@@ -212,7 +212,7 @@
 	 */
 	private void wanted(RequestRecord record) {
 		if (record.placement().mayMention(this.scheduler.nanos(), WANTED_AGAIN)) {
-			this.pool.wanted(record.service(), record.work().model(), kvTokens(record));
+			this.pool.requestCapacity(record.service(), record.work().model(), kvTokens(record));
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRun.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRun.java
@@ -158,7 +158,7 @@
 
 	private void onOverdue() {
 		Duration waited = Duration.ofNanos(scheduler().nanos() - this.sentAt);
-		this.runner.pool().overdue(this.place.endpoint().name(), waited, this.place.predictedFirstToken());
+		this.runner.pool().recordOverdue(this.place.endpoint().name(), waited, this.place.predictedFirstToken());
 		this.overdue.start(OVERDUE_AGAIN);
 	}
 
@@ -176,7 +176,7 @@
 		Duration stream = Duration.ofNanos(this.lastTokenAt - this.firstTokenAt);
 		int tokens = Math.toIntExact(this.record.log().next() - this.firstOffset);
 		this.runner.pool()
-			.observed(this.place.endpoint().name(), new Observation(computedTokens, firstToken,
+			.recordAttempt(this.place.endpoint().name(), new Observation(computedTokens, firstToken,
 					this.place.predictedFirstToken(), tokens, stream, failed));
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/Place.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/Place.java
@@ -17,7 +17,7 @@
 record Place(EndpointEntry endpoint, List<Permit> permits, List<String> holds, Duration predictedFirstToken) {
 
 	void firstToken() {
-		this.permits.forEach(Permit::firstToken);
+		this.permits.forEach(Permit::firstTokenReceived);
 	}
 
 	void close() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/PlacementPlanner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/PlacementPlanner.java
@@ -66,7 +66,7 @@
 			throw tooLarge(needed, "model '" + generation.request().model() + "' takes " + context);
 		}
 		if (Sizes.exceedsEach(needed, candidates)) {
-			long largest = this.reservations.largest(record.service(), generation.request().model());
+			long largest = this.reservations.largestGroupTokens(record.service(), generation.request().model());
 			if (largest > 0 && needed > largest) {
 				throw tooLarge(needed, "the engines of service '" + record.service() + "' take " + largest);
 			}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/Candidate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/Candidate.java
@@ -18,7 +18,7 @@
  * yet
  * @param ownInFlight in-flight requests of this daemon
  * @param grantSlots slots left in this daemon's grant
- * @param grantKv KV-cache tokens left in this daemon's grant
+ * @param grantKvTokens KV-cache tokens left in this daemon's grant
  * @param prefillTokensPerSecond measured prefill speed; 0 if unknown
  * @param stepSeconds measured time between tokens; 0 if unknown
  * @param penaltySeconds smoothed delay of its recent answers against the predictions
@@ -27,5 +27,6 @@
  */
 public record Candidate(EndpointId endpoint, long reportAgeNanos, int running, int waiting, int slots,
 		long queuedPrefillTokens, long kvUsed, long kvCapacity, long ownPrefillTokens, int ownInFlight, int grantSlots,
-		long grantKv, double prefillTokensPerSecond, double stepSeconds, double penaltySeconds, boolean readmitting) {
+		long grantKvTokens, double prefillTokensPerSecond, double stepSeconds, double penaltySeconds,
+		boolean readmitting) {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/Decision.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/Decision.java
@@ -46,7 +46,7 @@
 	 */
 	boolean eligible(int index, boolean lanes, boolean queueing) {
 		Candidate candidate = this.candidates.get(index);
-		if (candidate.grantSlots() <= 0 || candidate.grantKv() < this.request.kvTokens()) {
+		if (candidate.grantSlots() <= 0 || candidate.grantKvTokens() < this.request.kvTokens()) {
 			return false;
 		}
 		if (candidate.readmitting() && candidate.ownInFlight() > 0) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/EndpointHealth.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/EndpointHealth.java
@@ -74,7 +74,7 @@
 	 * @param waited the time since the attempt was sent
 	 * @param predicted the time to first token predicted when it was sent
 	 */
-	public void overdue(EndpointId endpoint, Duration waited, Duration predicted) {
+	public void observeOverdue(EndpointId endpoint, Duration waited, Duration predicted) {
 		record(endpoint).recordOverdue(seconds(waited), seconds(predicted));
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/PredictivePolicy.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/PredictivePolicy.java
@@ -106,7 +106,7 @@
 
 		private IntSupplier position = () -> 0;
 
-		private SpeedLearner speeds;
+		private SpeedEstimator speeds;
 
 		private boolean lanes = true;
 
@@ -133,7 +133,7 @@
 		 * @param learner the daemon's speed learner
 		 * @return this builder
 		 */
-		public Builder speeds(SpeedLearner learner) {
+		public Builder speeds(SpeedEstimator learner) {
 			this.speeds = learner;
 			return this;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedLearner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedEstimator.java
@@ -25,7 +25,7 @@
  * 0 until the first usable observation and positive and finite afterwards. Confined to
  * the scheduler's thread.
  */
-public final class SpeedLearner {
+public final class SpeedEstimator {
 
 	private static final double MIN_TOKENS_PER_SECOND = 1;
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedExchange.java
@@ -39,13 +39,13 @@
 
 	private final PeerNetwork network;
 
-	private final SpeedLearner speeds;
+	private final SpeedEstimator speeds;
 
 	private final Map<VmId, Long> lastReceived = new HashMap<>();
 
 	private int recipientOffset;
 
-	public SpeedExchange(Scheduler scheduler, MembershipView membership, PeerNetwork network, SpeedLearner speeds) {
+	public SpeedExchange(Scheduler scheduler, MembershipView membership, PeerNetwork network, SpeedEstimator speeds) {
 		this.scheduler = scheduler;
 		this.membership = membership;
 		this.network = network;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/Baselines.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/Baselines.java
@@ -18,7 +18,7 @@
 	}
 
 	static boolean hasRoom(RoutingRequest request, Candidate candidate) {
-		return candidate.grantSlots() > 0 && candidate.grantKv() >= request.kvTokens();
+		return candidate.grantSlots() > 0 && candidate.grantKvTokens() >= request.kvTokens();
 	}
 
 	static RoutingChoice choice(int index) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/PrefixHomePolicy.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/baseline/PrefixAffinityPolicy.java
@@ -12,7 +12,7 @@
  * Sends prompts with the same prefix to one candidate selected by hash, and others to a
  * random candidate. Stateless.
  */
-public final class PrefixHomePolicy implements RoutingPolicy {
+public final class PrefixAffinityPolicy implements RoutingPolicy {
 
 	@Override
 	public RoutingChoice choose(RoutingRequest request, List<Candidate> candidates, RandomGenerator random) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/admission/FairAdmissionTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/admission/FairAdmissionTests.java
@@ -173,7 +173,7 @@
 		FairAdmission admission = FairAdmission
 			.builder(this.scheduler, AccountConfiguration.of(AccountConfiguration.unlimited("first", 1)),
 					new MetricRegistry())
-			.mostWaiting(2)
+			.maxWaiting(2)
 			.build();
 		admit(admission, "first", HIRE, 100);
 		RequestId second = admit(admission, "first", HIRE, 100);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/admission/LimitSharesTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/admission/LimitShareExchangeTests.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class LimitSharesTests {
+class LimitShareExchangeTests {
 
 	private static final ClientAccountId DESK = new ClientAccountId("desk");
 
@@ -130,11 +130,12 @@
 			this.self = new Incarnation(vm(number), 1);
 			AccountConfiguration accounts = AccountConfiguration
 				.of(AccountConfiguration.limited(DESK.value(), 1, LIMIT, 3_000, 3));
-			this.admission = FairAdmission.builder(LimitSharesTests.this.scheduler, accounts, new MetricRegistry())
+			this.admission = FairAdmission
+				.builder(LimitShareExchangeTests.this.scheduler, accounts, new MetricRegistry())
 				.build();
-			InMemoryPeerNetwork network = LimitSharesTests.this.hub.join(this.self);
-			new LimitShares(LimitSharesTests.this.scheduler, new SingleDaemonView(this.self), (account) -> addresses(),
-					accounts, network, this.admission);
+			InMemoryPeerNetwork network = LimitShareExchangeTests.this.hub.join(this.self);
+			new LimitShareExchange(LimitShareExchangeTests.this.scheduler, new SingleDaemonView(this.self),
+					(account) -> addresses(), accounts, network, this.admission);
 		}
 
 		private long submit(int tokens) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/admission/TokenBucketTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/admission/TokenBucketTests.java
@@ -18,9 +18,9 @@
 		bucket.take(100);
 		Duration wait = bucket.waitTime(tokens, 0);
 		Truth.assertThat(wait.toMillis()).isEqualTo(millis);
-		Truth.assertThat(bucket.holds(tokens, wait.toNanos())).isTrue();
+		Truth.assertThat(bucket.canTake(tokens, wait.toNanos())).isTrue();
 		if (millis > 0) {
-			Truth.assertThat(bucket.holds(tokens, wait.minusMillis(1).toNanos())).isFalse();
+			Truth.assertThat(bucket.canTake(tokens, wait.minusMillis(1).toNanos())).isFalse();
 		}
 	}
 
@@ -29,13 +29,13 @@
 		TokenBucket bucket = new TokenBucket(50, 500, 0);
 		bucket.take(1_000);
 		Truth.assertThat(bucket.waitTime(100, 0)).isEqualTo(Duration.ofSeconds(12));
-		Truth.assertThat(bucket.holds(100, 12 * SECOND)).isTrue();
+		Truth.assertThat(bucket.canTake(100, 12 * SECOND)).isTrue();
 	}
 
 	@Test
 	void reducesTheLevelToASmallerBurst() {
 		TokenBucket bucket = new TokenBucket(50, 500, 0);
-		bucket.limit(10, 60, 0);
+		bucket.setLimit(10, 60, 0);
 		Truth.assertThat(bucket.level(SECOND)).isEqualTo(60.0);
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/GrantedEndpointPoolTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/GrantedEndpointPoolTests.java
@@ -96,7 +96,7 @@
 		grant(millis(), 5, 1, 4);
 		this.fleet.advance(Duration.ofMinutes(3));
 		List<Integer> observedSlots = new ArrayList<>();
-		this.pool.onRoom(() -> observedSlots.add(slots()));
+		this.pool.onCapacityAvailable(() -> observedSlots.add(slots()));
 		Truth.assertThat(slots()).isEqualTo(0);
 		this.fleet.advance(Duration.ofMillis(60));
 		Truth.assertThat(observedSlots).containsExactly(1);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/GrantsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/GrantsTests.java
@@ -29,7 +29,7 @@
 		EndpointFleet fleet = new EndpointFleet(3, "e1");
 		EndpointFleet.Daemon entry = fleet.daemon("vm-1");
 		List<String> events = new ArrayList<>();
-		entry.pool.onRoom(() -> events.add("room"));
+		entry.pool.onCapacityAvailable(() -> events.add("room"));
 		entry.tryAcquire("e1", 1_000);
 		entry.tryAcquire("e1", 1_000);
 		fleet.advance(Duration.ofMillis(25));
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/GroupReservationTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/GroupReservationTests.java
@@ -108,7 +108,7 @@
 		// reservation.
 		EndpointFleet.Daemon longRequests = this.fleet.daemon("vm-2");
 		for (int i = 0; i < 100; i++) {
-			longRequests.pool.wanted(EndpointFleet.SERVICE, EndpointFleet.MODEL, 100_000);
+			longRequests.pool.requestCapacity(EndpointFleet.SERVICE, EndpointFleet.MODEL, 100_000);
 			List.of("e1", "e2", "e3")
 				.forEach((endpoint) -> longRequests.tryRun(endpoint, 100_000, Duration.ofSeconds(30)));
 			this.fleet.advance(Duration.ofMillis(20));
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/MemoryRecoveryTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/MemoryRecoveryTests.java
@@ -106,7 +106,7 @@
 			}
 		},
 
-		HOLDER_AND_OWNERS_CRASH_TOGETHER(Duration.ofSeconds(20), HoldTimes.FREED_ALWAYS) {
+		HOLDER_AND_OWNERS_CRASH_TOGETHER(Duration.ofSeconds(20), HoldTimes.MAX_RETENTION) {
 			@Override
 			void inject(MemoryRecoveryTests test, String holder) {
 				List<String> owners = ENGINES.stream().map(test.fleet::owner).distinct().toList();
@@ -115,23 +115,23 @@
 			}
 		},
 
-		HOLDER_AND_OWNERS_CRASH_DURING_PLATFORM_OUTAGE(Duration.ofSeconds(20), HoldTimes.FREED_ALWAYS) {
+		HOLDER_AND_OWNERS_CRASH_DURING_PLATFORM_OUTAGE(Duration.ofSeconds(20), HoldTimes.MAX_RETENTION) {
 			@Override
 			void inject(MemoryRecoveryTests test, String holder) {
 				List<String> owners = ENGINES.stream().map(test.fleet::owner).distinct().toList();
 				test.fleet.leases().startOutage();
 				owners.forEach(test.fleet::kill);
 				test.fleet.kill(holder);
-				test.fleet.scheduler.schedule(HoldTimes.FREED_ALWAYS, test.fleet.leases()::endOutage);
+				test.fleet.scheduler.schedule(HoldTimes.MAX_RETENTION, test.fleet.leases()::endOutage);
 			}
 		},
 
-		HOLDER_CRASHES_DURING_PLATFORM_OUTAGE(Duration.ofSeconds(20), HoldTimes.FREED_ALWAYS) {
+		HOLDER_CRASHES_DURING_PLATFORM_OUTAGE(Duration.ofSeconds(20), HoldTimes.MAX_RETENTION) {
 			@Override
 			void inject(MemoryRecoveryTests test, String holder) {
 				test.fleet.leases().startOutage();
 				test.fleet.kill(holder);
-				test.fleet.scheduler.schedule(HoldTimes.FREED_ALWAYS, test.fleet.leases()::endOutage);
+				test.fleet.scheduler.schedule(HoldTimes.MAX_RETENTION, test.fleet.leases()::endOutage);
 			}
 		},
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/OwnerChangeTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/OwnerChangeTests.java
@@ -274,7 +274,7 @@
 	}
 
 	private void tryLarge(EndpointFleet.Daemon entry, List<String> done) {
-		entry.pool.wanted(EndpointFleet.SERVICE, EndpointFleet.MODEL, 500_000);
+		entry.pool.requestCapacity(EndpointFleet.SERVICE, EndpointFleet.MODEL, 500_000);
 		if (entry.tryRun("e1", 500_000, Duration.ofSeconds(2))) {
 			done.add(entry.incarnation.vm().value());
 		}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/Fleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/Fleet.java
@@ -80,7 +80,7 @@
 	}
 
 	void kill(String vm) {
-		this.daemons.remove(vm).scheduler.end();
+		this.daemons.remove(vm).scheduler.crash();
 		this.hub.kill(new VmId(vm));
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/MembershipOverTcpTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/MembershipOverTcpTests.java
@@ -142,8 +142,8 @@
 		}
 
 		@Override
-		public Set<VmId> wanted() {
-			return (this.membership != null) ? this.membership.directory().wanted() : Set.of();
+		public Set<VmId> desiredPeers() {
+			return (this.membership != null) ? this.membership.directory().desiredPeers() : Set.of();
 		}
 
 		@Override
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/PlannedLeaveTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/PlannedLeaveTests.java
@@ -31,8 +31,8 @@
 		fleet.advance(Duration.ofSeconds(20));
 		Truth.assertThat(fleet.statesOf("rawang-0")).containsExactly(State.DEAD);
 		for (Fleet.Daemon daemon : fleet.daemons.values()) {
-			Truth.assertThat(daemon.membership.history().endedByPlan(LEAVER)).isTrue();
-			Truth.assertThat(daemon.membership.expected()).isEqualTo(perDataCentre * dataCentres - 1);
+			Truth.assertThat(daemon.membership.history().endedAfterPlannedStop(LEAVER)).isTrue();
+			Truth.assertThat(daemon.membership.expectedDaemonCount()).isEqualTo(perDataCentre * dataCentres - 1);
 		}
 	}
 
@@ -75,11 +75,11 @@
 		fleet.kill("rawang-0");
 		fleet.advance(Duration.ofSeconds(200));
 		Truth.assertThat(unresponsiveFor(fleet)).isIn(Range.closed(Duration.ofSeconds(198), Duration.ofSeconds(200)));
-		Truth.assertThat(fleet.daemon("semenyih-0").membership.history().endedByPlan(LEAVER)).isFalse();
+		Truth.assertThat(fleet.daemon("semenyih-0").membership.history().endedAfterPlannedStop(LEAVER)).isFalse();
 	}
 
 	private static Duration unresponsiveFor(Fleet fleet) {
-		return fleet.daemon("semenyih-0").membership.history().silence(LEAVER);
+		return fleet.daemon("semenyih-0").membership.history().unresponsiveFor(LEAVER);
 	}
 
 	private static Fleet leftAndEnded(int perDataCentre, int dataCentres) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/peer/PeerConnectionsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/peer/PeerConnectionsTests.java
@@ -260,7 +260,7 @@
 		}
 
 		@Override
-		public Set<VmId> wanted() {
+		public Set<VmId> desiredPeers() {
 			return this.wanted;
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/peer/TcpPeerNetworkTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/peer/TcpPeerNetworkTests.java
@@ -306,7 +306,7 @@
 		}
 
 		@Override
-		public Set<VmId> wanted() {
+		public Set<VmId> desiredPeers() {
 			return this.wanted;
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakeAdmission.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakeAdmission.java
@@ -66,7 +66,7 @@
 	}
 
 	@Override
-	public void share(ClientAccountId account, double tokensPerSecond, Duration validFor) {
+	public void setShare(ClientAccountId account, double tokensPerSecond, Duration validFor) {
 	}
 
 }
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakePool.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakePool.java
@@ -62,22 +62,22 @@
 	}
 
 	@Override
-	public void wanted(ServiceName service, ModelName model, long kvTokens) {
+	public void requestCapacity(ServiceName service, ModelName model, long kvTokens) {
 		this.wanted.add(kvTokens);
 	}
 
 	@Override
-	public void overdue(EndpointId endpoint, Duration waited, Duration predicted) {
+	public void recordOverdue(EndpointId endpoint, Duration waited, Duration predicted) {
 		this.overdue.add(waited);
 	}
 
 	@Override
-	public void observed(EndpointId endpoint, Observation observation) {
+	public void recordAttempt(EndpointId endpoint, Observation observation) {
 		this.observations.add(observation);
 	}
 
 	@Override
-	public void onRoom(Runnable listener) {
+	public void onCapacityAvailable(Runnable listener) {
 		this.listeners.add(listener);
 	}
 
@@ -105,7 +105,7 @@
 		}
 
 		@Override
-		public void firstToken() {
+		public void firstTokenReceived() {
 		}
 
 		@Override
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/RequestFixture.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/RequestFixture.java
@@ -118,7 +118,7 @@
 
 	private static RoutingChoice firstWithRoom(RoutingRequest request, List<Candidate> candidates,
 			RandomGenerator random) {
-		boolean room = !candidates.isEmpty() && candidates.get(0).grantKv() >= request.kvTokens();
+		boolean room = !candidates.isEmpty() && candidates.get(0).grantKvTokens() >= request.kvTokens();
 		return (room) ? new RoutingChoice(0, 0, 0) : RoutingChoice.WAIT;
 	}
 
@@ -183,7 +183,7 @@
 		}
 
 		@Override
-		public long largest(ServiceName service, ModelName model) {
+		public long largestGroupTokens(ServiceName service, ModelName model) {
 			return 300_000;
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/time/PausableScheduler.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/time/PausableScheduler.java
@@ -34,7 +34,7 @@
 		due.forEach(this::run);
 	}
 
-	public void end() {
+	public void crash() {
 		this.ended = true;
 	}
 
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/FaultRun.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/FaultRun.java
@@ -34,7 +34,7 @@
 
 	private static final Duration MAX_CALLER_WAIT = Duration.ofSeconds(40);
 
-	private static final Duration MEMORY_FREE_WITHIN = HoldTimes.FREED_ALWAYS;
+	private static final Duration MEMORY_FREE_WITHIN = HoldTimes.MAX_RETENTION;
 
 	private static final Duration SETTLING_TIME = Duration.ofSeconds(8);
 
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/MemoryRetentionCheck.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/MemoryRetentionCheck.java
@@ -73,7 +73,7 @@
 		Duration previous = this.retained.getOrDefault(memory, Duration.ZERO);
 		Duration total = previous.plus(CHECK_INTERVAL);
 		this.retained.put(memory, total);
-		if (previous.compareTo(HoldTimes.FREED_ALWAYS) <= 0 && total.compareTo(HoldTimes.FREED_ALWAYS) > 0) {
+		if (previous.compareTo(HoldTimes.MAX_RETENTION) <= 0 && total.compareTo(HoldTimes.MAX_RETENTION) > 0) {
 			this.violations.add("memory is still in use after " + total + " at " + memory);
 		}
 	}
