--- a/bench/src/main/java/org/bramleyscale/bench/experiment/Experiment.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/Experiment.java
@@ -15,7 +15,7 @@
  * @param engines how many engines there are
  * @param profile how each of them works
  * @param daemons how many daemons place requests
- * @param hearingDelay how late a daemon hears of the others' work
+ * @param hearingDelay the delay of updates between daemons
  * @param length how long requests arrive
  * @param seeds how many plays there are of each policy; play n has seed n
  * @param kinds the kinds of requests
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/KindOutcome.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/KindOutcome.java
@@ -14,7 +14,7 @@
 
 	final Histogram firstMillis = new Histogram(DIGITS);
 
-	/** Late by a pause, by what was mostly read in it. */
+	/** Late by a pause, by what was mostly prefilled in it. */
 	final Map<String, Integer> latePauses = new TreeMap<>();
 
 	int asked;
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/PassEngine.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/PassEngine.java
@@ -12,8 +12,8 @@
 
 /**
  * A modelled engine that works in passes as operators describe their engines: in a pass
- * of many steps each writer gets one event, and unread prompts are read a chunk a step,
- * all alike. Without writers a pass is one step.
+ * of many steps each writer gets one event, and prompts are prefilled a chunk a step, all
+ * alike. Without writers a pass is one step.
  *
  * <p>
  * Not safe for use by multiple threads.
@@ -29,7 +29,7 @@
 
 	private final EngineProfile profile;
 
-	private final List<Part> unread = new ArrayList<>();
+	private final List<Part> pending = new ArrayList<>();
 
 	private final Deque<Writer> queued = new ArrayDeque<>();
 
@@ -45,18 +45,18 @@
 	}
 
 	/**
-	 * Reads a part of a prompt.
+	 * Prefills a part of a prompt.
 	 * @param kind what it is a part of, for the account of long passes
 	 * @param tokens the part's length
 	 * @param millis the time it takes by itself
 	 * @param helps true if another engine writes the answer
-	 * @param done called when it has been read
+	 * @param done called when it has been prefilled
 	 */
-	void read(String kind, double tokens, double millis, boolean helps, Runnable done) {
+	void prefill(String kind, double tokens, double millis, boolean helps, Runnable done) {
 		if (helps) {
 			this.helping++;
 		}
-		this.unread.add(new Part(kind, tokens, millis / tokens, () -> {
+		this.pending.add(new Part(kind, tokens, millis / tokens, () -> {
 			this.helping -= helps ? 1 : 0;
 			done.run();
 		}));
@@ -72,12 +72,12 @@
 	}
 
 	/**
-	 * Writes an answer.
+	 * Decodes an answer.
 	 * @param events its events
 	 * @param context tokens in memory
 	 * @param listener told of each event
 	 */
-	void write(int events, long context, EventListener listener) {
+	void decode(int events, long context, EventListener listener) {
 		this.queued.addLast(new Writer(events, context, listener));
 		pass();
 	}
@@ -89,53 +89,53 @@
 		while (this.writers.size() < this.profile.slots() && !this.queued.isEmpty()) {
 			this.writers.add(this.queued.pollFirst());
 		}
-		if (this.writers.isEmpty() && this.unread.isEmpty()) {
+		if (this.writers.isEmpty() && this.pending.isEmpty()) {
 			return;
 		}
 		this.busy = true;
-		Reading reading = new Reading();
+		PassPrefill prefill = new PassPrefill();
 		List<Writer> writing = List.copyOf(this.writers);
 		int steps = writing.isEmpty() ? 1 : this.profile.stride();
-		readEvenly((double) steps * this.profile.chunk(), reading);
-		double millis = reading.millis;
+		prefillEvenly((double) steps * this.profile.chunk(), prefill);
+		double millis = prefill.millis;
 		if (!writing.isEmpty()) {
 			long context = writing.stream().mapToLong((writer) -> writer.context).sum();
 			millis += this.profile.passMillis(writing.size(), context);
 		}
-		this.scheduler.schedule(Duration.ofNanos((long) (millis * NANOS_PER_MILLI)), () -> end(reading, writing));
+		this.scheduler.schedule(Duration.ofNanos((long) (millis * NANOS_PER_MILLI)), () -> end(prefill, writing));
 	}
 
 	/**
-	 * Reads of all parts alike, so that short ones are read soon and long ones last.
-	 * @param tokens how much is read in all
-	 * @param reading gets what is read
+	 * Prefills all parts alike, so that short ones complete early and long ones last.
+	 * @param tokens how much is prefilled in all
+	 * @param prefill records what is prefilled
 	 */
-	private void readEvenly(double tokens, Reading reading) {
+	private void prefillEvenly(double tokens, PassPrefill prefill) {
 		double left = tokens;
-		List<Part> byLength = new ArrayList<>(this.unread);
+		List<Part> byLength = new ArrayList<>(this.pending);
 		byLength.sort(Comparator.comparingDouble((part) -> part.tokens));
 		for (int i = 0; i < byLength.size(); i++) {
 			Part part = byLength.get(i);
-			double read = Math.min(part.tokens, left / (byLength.size() - i));
-			left -= read;
-			part.tokens -= read;
-			reading.add(part.kind, read * part.millisPerToken);
+			double prefilled = Math.min(part.tokens, left / (byLength.size() - i));
+			left -= prefilled;
+			part.tokens -= prefilled;
+			prefill.add(part.kind, prefilled * part.millisPerToken);
 			if (part.tokens <= DONE) {
-				reading.done.add(part.done);
-				this.unread.remove(part);
+				prefill.done.add(part.done);
+				this.pending.remove(part);
 			}
 		}
 	}
 
-	private void end(Reading reading, List<Writer> writing) {
+	private void end(PassPrefill prefill, List<Writer> writing) {
 		this.busy = false;
-		reading.done.forEach(Runnable::run);
+		prefill.done.forEach(Runnable::run);
 		for (Writer writer : writing) {
 			writer.left--;
 			if (writer.left == 0) {
 				this.writers.remove(writer);
 			}
-			writer.listener.event(reading.mostly);
+			writer.listener.event(prefill.mostly);
 		}
 		pass();
 	}
@@ -148,17 +148,17 @@
 
 		/**
 		 * An event was written.
-		 * @param mostRead the kind of which most was read in the pass before it, or null
-		 * if nothing was
+		 * @param mostPrefilled the kind of which most was prefilled in the pass before
+		 * it, or null if nothing was
 		 */
-		void event(String mostRead);
+		void event(String mostPrefilled);
 
 	}
 
 	/**
-	 * What is read in one pass.
+	 * What is prefilled in one pass.
 	 */
-	private static final class Reading {
+	private static final class PassPrefill {
 
 		private final List<Runnable> done = new ArrayList<>();
 
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/Play.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/Play.java
@@ -50,7 +50,7 @@
 
 	private static final int CONNECTIONS = 300;
 
-	private final Set<PlayedDaemon> tellingSoon = new HashSet<>();
+	private final Set<PlayedDaemon> scheduledUpdates = new HashSet<>();
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
@@ -101,8 +101,8 @@
 	Map<String, KindOutcome> run() {
 		if (this.daemons.size() > 1) {
 			this.daemons.forEach((daemon) -> {
-				daemon.loads().onChange(() -> tellSoon(daemon));
-				this.scheduler.repeat(LoadExchange.UPDATE_INTERVAL, () -> tell(daemon));
+				daemon.loads().onChange(() -> scheduleUpdate(daemon));
+				this.scheduler.repeat(LoadExchange.UPDATE_INTERVAL, () -> sendUpdate(daemon));
 			});
 		}
 		this.experiment.kinds().forEach(this::arrive);
@@ -122,14 +122,14 @@
 		return catalog.build().service(SERVICE).orElseThrow();
 	}
 
-	private void tellSoon(PlayedDaemon from) {
-		if (this.tellingSoon.add(from)) {
-			this.scheduler.schedule(LoadExchange.BATCH_DELAY, () -> tell(from));
+	private void scheduleUpdate(PlayedDaemon from) {
+		if (this.scheduledUpdates.add(from)) {
+			this.scheduler.schedule(LoadExchange.BATCH_DELAY, () -> sendUpdate(from));
 		}
 	}
 
-	private void tell(PlayedDaemon from) {
-		this.tellingSoon.remove(from);
+	private void sendUpdate(PlayedDaemon from) {
+		this.scheduledUpdates.remove(from);
 		List<LoadUpdate.Share> shares = from.loads().shares();
 		List<LoadUpdate.Demand> demands = from.demands().demands();
 		this.scheduler.schedule(this.experiment.hearingDelay(),
@@ -185,7 +185,7 @@
 
 		private PlayedWork work;
 
-		private int unread;
+		private int pendingParts;
 
 		private int written;
 
@@ -241,37 +241,37 @@
 		private void send(Placement placed) {
 			Backend target = placed.target().orElseThrow();
 			this.work.sent(placed, this.tokens, this.route);
-			this.unread = placed.helpers().size() + 1;
-			PassEngine writer = Play.this.engines.get(target.start());
-			double part = (double) this.tokens / this.unread;
-			writer.read(this.kind.name(), part, placed.prefillMillis(), false, () -> read(writer));
+			this.pendingParts = placed.helpers().size() + 1;
+			PassEngine engine = Play.this.engines.get(target.start());
+			double part = (double) this.tokens / this.pendingParts;
+			engine.prefill(this.kind.name(), part, placed.prefillMillis(), false, () -> partPrefilled(engine));
 			for (Backend helper : placed.helpers()) {
 				Play.this.engines.get(helper.start())
-					.read(this.kind.name(), part, placed.prefillMillis(), true, () -> read(writer));
+					.prefill(this.kind.name(), part, placed.prefillMillis(), true, () -> partPrefilled(engine));
 			}
 		}
 
-		private void read(PassEngine writer) {
-			this.unread--;
-			if (this.unread == 0) {
+		private void partPrefilled(PassEngine engine) {
+			this.pendingParts--;
+			if (this.pendingParts == 0) {
 				// The first event follows the last part at once.
 				event(null);
-				writer.write(this.events - 1, this.tokens, this);
+				engine.decode(this.events - 1, this.tokens, this);
 			}
 		}
 
 		@Override
-		public void event(String mostRead) {
+		public void event(String mostPrefilled) {
 			long now = Play.this.scheduler.nanos();
 			if (this.written == 0) {
 				long millis = (now - this.arrived) / 1_000_000;
 				this.outcome.firstMillis.recordValue(millis);
 				this.lateFirst = millis > this.kind.targetMillis();
 				this.gone = millis > this.route.callerTimeout().toMillis();
-				this.work.read();
+				this.work.prefillDone();
 			}
 			else if (now - this.lastEvent > this.kind.pauseMillis() * 1_000_000L) {
-				this.latePause = String.valueOf(mostRead);
+				this.latePause = String.valueOf(mostPrefilled);
 			}
 			this.lastEvent = now;
 			this.written++;
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/PlayedDaemon.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/PlayedDaemon.java
@@ -78,7 +78,7 @@
 	 * Notes a request that has arrived.
 	 * @param service the service
 	 * @param tokens its prompt's length
-	 * @return its work, for the boards
+	 * @return its work, for the trackers
 	 */
 	PlayedWork arrived(Service service, long tokens) {
 		return new PlayedWork(this, service, tokens);
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/PlayedWork.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/PlayedWork.java
@@ -7,7 +7,7 @@
 import org.bramleyscale.internal.gateway.placement.Placement;
 
 /**
- * One request on its daemon's boards, noted at the same steps as the gateway does.
+ * One request in its daemon's trackers, recorded at the same steps as the gateway does.
  *
  * <p>
  * Not safe for use by multiple threads.
@@ -18,7 +18,7 @@
 
 	private final boolean longPrompt;
 
-	private final double readMillis;
+	private final double prefillMillis;
 
 	private PlacedWork work;
 
@@ -27,7 +27,7 @@
 	PlayedWork(PlayedDaemon daemon, Service service, long tokens) {
 		this.daemon = daemon;
 		this.longPrompt = EnginePlacement.isLong(service, tokens);
-		this.readMillis = service.engine().orElseThrow().prefillMillis(tokens);
+		this.prefillMillis = service.engine().orElseThrow().prefillMillis(tokens);
 		if (!this.longPrompt) {
 			daemon.demands().shortBegan(Play.SERVICE);
 		}
@@ -36,14 +36,14 @@
 	void waits() {
 		if (!this.waiting) {
 			this.waiting = true;
-			this.daemon.demands().waitBegan(Play.SERVICE, this.readMillis);
+			this.daemon.demands().waitBegan(Play.SERVICE, this.prefillMillis);
 		}
 	}
 
 	void placed() {
 		if (this.waiting) {
 			this.waiting = false;
-			this.daemon.demands().waitEnded(Play.SERVICE, this.readMillis);
+			this.daemon.demands().waitEnded(Play.SERVICE, this.prefillMillis);
 		}
 	}
 
@@ -51,7 +51,7 @@
 		this.work = PlacedWork.begin(this.daemon.loads(), placed, route, tokens);
 	}
 
-	void read() {
+	void prefillDone() {
 		this.work.prefillDone();
 	}
 
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/Policies.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/Policies.java
@@ -63,7 +63,7 @@
 	}
 
 	/**
-	 * The engine with the fewest requests reads the prompt alone.
+	 * The engine with the fewest requests prefills the prompt alone.
 	 * @param daemon what the daemon knows
 	 * @return the policy
 	 */
@@ -76,7 +76,7 @@
 	}
 
 	/**
-	 * Any prompt is read by as many of the least busy engines as may help.
+	 * Any prompt is prefilled by as many of the least busy engines as may help.
 	 * @param daemon what the daemon knows
 	 * @return the policy
 	 */
@@ -84,9 +84,9 @@
 		return (request) -> {
 			EngineProfile profile = request.service().engine().orElseThrow();
 			List<Backend> sorted = byActive(daemon);
-			int readers = Math.min(EnginePlacement.MAX_PREFILL_ENGINES, sorted.size());
-			return Placement.at(sorted.get(0), sorted.subList(1, readers),
-					profile.prefillMillis(request.promptTokens()) / readers, 0, "always split");
+			int prefillEngines = Math.min(EnginePlacement.MAX_PREFILL_ENGINES, sorted.size());
+			return Placement.at(sorted.get(0), sorted.subList(1, prefillEngines),
+					profile.prefillMillis(request.promptTokens()) / prefillEngines, 0, "always split");
 		};
 	}
 
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/RequestKind.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/RequestKind.java
@@ -32,11 +32,11 @@
 	private static final int FEWEST_EVENTS = 2;
 
 	/** Callers leave after the longest of this and the multiples below. */
-	private static final int LEAST_PATIENCE_MILLIS = 2_000;
+	private static final int MIN_CALLER_TIMEOUT_MILLIS = 2_000;
 
-	private static final int PATIENCE_TARGETS = 4;
+	private static final int CALLER_TIMEOUT_TARGETS = 4;
 
-	private static final int PATIENCE_PAUSES = 8;
+	private static final int CALLER_TIMEOUT_PAUSES = 8;
 
 	/** The part of a request's worth that doesn't grow with its prompt. */
 	private static final double FIXED_WORTH = 0.3;
@@ -62,14 +62,14 @@
 	}
 
 	Route route(String service) {
-		int patience = Math.max(LEAST_PATIENCE_MILLIS,
-				Math.max(PATIENCE_TARGETS * this.targetMillis, PATIENCE_PAUSES * this.pauseMillis));
+		int callerTimeout = Math.max(MIN_CALLER_TIMEOUT_MILLIS,
+				Math.max(CALLER_TIMEOUT_TARGETS * this.targetMillis, CALLER_TIMEOUT_PAUSES * this.pauseMillis));
 		return Route.builder(this.name, "experiment", "/" + this.name + "/")
 			.service(service)
 			.streaming(true)
 			.targetLatency(Duration.ofMillis(this.targetMillis))
 			.longestPause(Duration.ofMillis(this.pauseMillis))
-			.callerTimeout(Duration.ofMillis(patience))
+			.callerTimeout(Duration.ofMillis(callerTimeout))
 			.build();
 	}
 
--- a/bench/src/main/java/org/bramleyscale/bench/experiment/package-info.java
+++ b/bench/src/main/java/org/bramleyscale/bench/experiment/package-info.java
@@ -3,8 +3,8 @@
  * seconds over many seeds.
  *
  * <p>
- * What is real: the placement, the boards of load and demand, and what daemons tell each
- * other with its delay. What is modelled: engines in passes, arrivals, lengths. What is
- * left out: the network, repeats, memory held at other engines, failures.
+ * What is real: the placement, the trackers of load and demand, and the updates between
+ * daemons with their delay. What is modelled: engines in passes, arrivals, lengths. What
+ * is left out: the network, repeats, memory held at other engines, failures.
  */
 package org.bramleyscale.bench.experiment;
--- a/bench/src/test/java/org/bramleyscale/bench/experiment/PlacementLoadTests.java
+++ b/bench/src/test/java/org/bramleyscale/bench/experiment/PlacementLoadTests.java
@@ -28,7 +28,7 @@
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
-	void shortAnswersFlowWhileManyManualsAreRead(long seed) {
+	void shortAnswersFlowWhileManyManualsArePrefilled(long seed) {
 		Experiment experiment = experiment(21, 1, Duration.ZERO, 40, kinds(10.9, 2.1, 2.1), List.of());
 		Map<String, KindOutcome> product = play("many manuals", experiment, "product", seed);
 		Map<String, KindOutcome> alone = play("many manuals", experiment, "least in flight", seed);
@@ -55,7 +55,7 @@
 	@Test
 	void manyDaemonsDoNotAllChooseTheSameEngine() {
 		// Symptom: engines refuse a fifth of all quotes while others are idle. Sequence:
-		// 76 daemons hear of each other's requests after 250 ms. Cause: in that time all
+		// 76 daemons get each other's updates after 250 ms. Cause: in that time all
 		// take the engine that was the least busy one.
 		Experiment experiment = experiment(69, 76, Duration.ofMillis(250), 10, kinds(165, 4, 0.3), List.of());
 		Truth.assertThat(inTime(play("many daemons", experiment, "product", 1), QUOTE)).isGreaterThan(0.8);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/BackendHealth.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/BackendHealth.java
@@ -176,7 +176,7 @@
 	 * Removes the recorded failures of an endpoint whose entry was removed.
 	 * @param start the endpoint
 	 */
-	public void forget(EndpointStart start) {
+	public void remove(EndpointStart start) {
 		this.states.remove(start);
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/FleetPresence.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/FleetPresence.java
@@ -28,7 +28,7 @@
 
 	private final BackendTable backends;
 
-	private final FleetGossip<LeavingUpdate> broadcaster;
+	private final FleetGossip<LeavingUpdate> gossip;
 
 	/**
 	 * Creates the presence and starts to exchange it with peers.
@@ -39,7 +39,7 @@
 	 */
 	public FleetPresence(Scheduler scheduler, PeerNetwork network, UpdateRoutes routes, BackendTable backends) {
 		this.backends = backends;
-		this.broadcaster = new FleetGossip<>(scheduler, network, routes, LeavingUpdate.class, this);
+		this.gossip = new FleetGossip<>(scheduler, network, routes, LeavingUpdate.class, this);
 	}
 
 	/**
@@ -58,7 +58,7 @@
 	@Override
 	public void announceLeaving(EndpointStart endpoint) {
 		if (this.backends.markLeaving(endpoint, "its answer")) {
-			this.broadcaster.publish(new LeavingUpdate(List.of(endpoint.toString())));
+			this.gossip.publish(new LeavingUpdate(List.of(endpoint.toString())));
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/Catalog.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/Catalog.java
@@ -40,7 +40,7 @@
 
 	private Catalog(Builder builder) {
 		this.version = builder.version;
-		this.services = Map.copyOf(withAims(builder));
+		this.services = Map.copyOf(withStreamTargets(builder));
 		this.accountsByKey = Map.copyOf(builder.accountsByKey);
 		this.keysNeeded = builder.keysNeeded;
 		this.limits = builder.limits;
@@ -50,7 +50,7 @@
 		this.routesByHost.values().forEach((routes) -> routes.sort(LONGEST_FIRST));
 	}
 
-	private static Map<ServiceName, Service> withAims(Builder builder) {
+	private static Map<ServiceName, Service> withStreamTargets(Builder builder) {
 		Map<ServiceName, Service> services = new HashMap<>();
 		builder.services.forEach((name, service) -> {
 			List<Route> routes = builder.routes.stream()
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/EngineProfile.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/EngineProfile.java
@@ -5,19 +5,19 @@
  *
  * <p>
  * An engine works in passes. In a pass each writer, a request that generates tokens, gets
- * {@code stride} tokens, and up to {@code stride * chunk} prompt tokens are read
- * (prefilled) between them, so that prefill lengthens the pauses between the tokens of
- * writers. Immutable and safe for use by multiple threads.
+ * {@code stride} tokens, and up to {@code stride * chunk} prompt tokens are prefilled
+ * between them, so that prefill lengthens the pauses between the tokens of writers.
+ * Immutable and safe for use by multiple threads.
  *
  * @param slots the number of requests that run concurrently
  * @param memoryTokens the number of context tokens that fit in an engine's memory
  * @param stride the number of token steps in a pass with writers
- * @param chunk the maximum number of prompt tokens read in a step
+ * @param chunk the maximum number of prompt tokens prefilled in a step
  * @param stepMillis the time of a token step without writers, in ms
  * @param writerMillis the time that each writer adds to a step, in ms
  * @param contextMillis the time that 1,000 tokens of a writer's context add to a step, in
  * ms
- * @param readTokensPerMilli the number of prompt tokens read in a ms
+ * @param readTokensPerMilli the number of prompt tokens prefilled in a ms
  * @param pairMillis the time for a million pairs of a prompt token and an earlier one, in
  * ms
  */
@@ -30,14 +30,13 @@
 
 	public EngineProfile {
 		if (slots < 1 || stride < 1 || readTokensPerMilli <= 0) {
-			throw new IllegalArgumentException(
-					"engine profile needs positive slots, stride and prompt reading rate, were " + slots + ", " + stride
-							+ ", " + readTokensPerMilli);
+			throw new IllegalArgumentException("engine profile needs positive slots, stride and prefill rate, were "
+					+ slots + ", " + stride + ", " + readTokensPerMilli);
 		}
 	}
 
 	/**
-	 * The time that an otherwise idle engine needs to read a whole prompt.
+	 * The time that an otherwise idle engine needs to prefill a whole prompt.
 	 * @param tokens the prompt's length
 	 * @return the time, in ms
 	 */
@@ -47,7 +46,7 @@
 	}
 
 	/**
-	 * The time between two events of a stream while no prompt is read.
+	 * The time between two events of a stream while no prompt is prefilled.
 	 * @param writers the number of writers
 	 * @param contextTokens the sum of their contexts, in tokens
 	 * @return the time of a pass, in ms
@@ -58,7 +57,7 @@
 	}
 
 	/**
-	 * The time that an engine needs to generate an answer.
+	 * The time that an engine needs to decode an answer.
 	 * @param tokens the answer's length
 	 * @param writers the number of concurrent writers
 	 * @return the time, in ms
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/StreamTargets.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/catalog/StreamTargets.java
@@ -26,14 +26,14 @@
 	 * @return the strictest pause and the slowest target of its streaming routes
 	 */
 	static StreamTargets of(Iterable<Route> routes) {
-		StreamTargets aims = UNSET;
+		StreamTargets targets = UNSET;
 		for (Route route : routes) {
 			if (route.streaming() && !route.longestPause().isZero()) {
-				aims = new StreamTargets(shorter(aims.strictestPause, route.longestPause()),
-						longer(aims.slowestTarget, route.targetLatency()));
+				targets = new StreamTargets(shorter(targets.strictestPause, route.longestPause()),
+						longer(targets.slowestTarget, route.targetLatency()));
 			}
 		}
-		return aims.equals(UNSET) ? NONE : aims;
+		return targets.equals(UNSET) ? NONE : targets;
 	}
 
 	private static Duration shorter(Duration known, Duration next) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashExchange.java
@@ -35,7 +35,7 @@
 
 	private final PeerNetwork network;
 
-	private final FleetGossip<CrashUpdate> broadcaster;
+	private final FleetGossip<CrashUpdate> gossip;
 
 	private final CrashRegistry registry;
 
@@ -49,7 +49,7 @@
 	CrashExchange(Scheduler scheduler, PeerNetwork network, UpdateRoutes routes, CrashRegistry registry) {
 		this.network = network;
 		this.registry = registry;
-		this.broadcaster = new FleetGossip<>(scheduler, network, routes, CrashUpdate.class, this);
+		this.gossip = new FleetGossip<>(scheduler, network, routes, CrashUpdate.class, this);
 	}
 
 	/**
@@ -66,16 +66,15 @@
 	 * @param request the request
 	 */
 	void crashed(RequestDigest request) {
-		this.broadcaster
-			.publish(new CrashUpdate(crashes(request, this.registry.endpoints(request)), List.of(), List.of()));
+		this.gossip.publish(new CrashUpdate(crashes(request, this.registry.endpoints(request)), List.of(), List.of()));
 	}
 
 	void cleared(RequestDigest request) {
-		this.broadcaster.publish(new CrashUpdate(List.of(), List.of(request.value()), List.of()));
+		this.gossip.publish(new CrashUpdate(List.of(), List.of(request.value()), List.of()));
 	}
 
 	void retractCrashes(EndpointStart endpoint) {
-		this.broadcaster.publish(new CrashUpdate(List.of(), List.of(), List.of(endpoint.toString())));
+		this.gossip.publish(new CrashUpdate(List.of(), List.of(), List.of(endpoint.toString())));
 	}
 
 	@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/FleetCrashGuard.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/FleetCrashGuard.java
@@ -25,8 +25,8 @@
  * platform's store, which all daemons watch and which survives their restarts; from then
  * on the request is sent only as a trial. A request that has run to completion is cleared
  * on all daemons. Confined to the scheduler's thread. <pre>
- * guard.fell(digest, endpoint);
- * if (guard.verdict(digest) == Verdict.DEADLY) { refuse(); }
+ * guard.connectionLost(digest, endpoint);
+ * if (guard.verdict(digest) == Verdict.BLOCKED) { refuse(); }
  * </pre>
  */
 public final class FleetCrashGuard implements CrashGuard, CrashDetector.Listener {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FollowTimes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FollowTimes.java
@@ -33,14 +33,14 @@
 
 	/**
 	 * Returns the times that meet a bound on the propagation of changes.
-	 * @param changeWithin the time within which a change must be in force
+	 * @param propagationLimit the time within which a change must be in force
 	 * @return the times
 	 */
-	public static FollowTimes within(Duration changeWithin) {
-		if (changeWithin.isNegative() || changeWithin.isZero()) {
-			throw new IllegalArgumentException("changeWithin must be positive, was " + changeWithin);
+	public static FollowTimes within(Duration propagationLimit) {
+		if (propagationLimit.isNegative() || propagationLimit.isZero()) {
+			throw new IllegalArgumentException("propagationLimit must be positive, was " + propagationLimit);
 		}
-		return new FollowTimes(WATCH, COALESCE, changeWithin.dividedBy(CHECKS_PER_BOUND), changeWithin);
+		return new FollowTimes(WATCH, COALESCE, propagationLimit.dividedBy(CHECKS_PER_BOUND), propagationLimit);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/hold/MemoryHolds.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/hold/MemoryHolds.java
@@ -157,7 +157,7 @@
 			}
 			MemoryHold hold = this.holds.get(index);
 			if (!MemoryHolds.this.acceptsOrders.test(hold.engine())) {
-				fail(hold, "engine is leaving or asked for rest");
+				fail(hold, "engine is leaving or asked for back-off");
 				return;
 			}
 			this.orderedCount = index + 1;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/SimpleHttpServer.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/SimpleHttpServer.java
@@ -125,17 +125,17 @@
 		@Override
 		protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
 			QueryStringDecoder query = new QueryStringDecoder(request.uri());
-			Response reply = SimpleHttpServer.this.handler
+			Response response = SimpleHttpServer.this.handler
 				.apply(new Request(request.method().name(), query.path(), query));
-			FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-					HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
-			response.headers().set(HttpHeaderNames.CONTENT_TYPE, reply.type());
-			HttpUtil.setContentLength(response, reply.body().length);
+			FullHttpResponse httpResponse = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+					HttpResponseStatus.valueOf(response.status()), Unpooled.wrappedBuffer(response.body()));
+			httpResponse.headers().set(HttpHeaderNames.CONTENT_TYPE, response.type());
+			HttpUtil.setContentLength(httpResponse, response.body().length);
 			boolean keepAlive = HttpUtil.isKeepAlive(request);
 			if (!keepAlive) {
-				response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+				httpResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
 			}
-			ChannelFuture written = context.writeAndFlush(response);
+			ChannelFuture written = context.writeAndFlush(httpResponse);
 			if (!keepAlive) {
 				written.addListener(ChannelFutureListener.CLOSE);
 			}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/FleetLimits.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/FleetLimits.java
@@ -34,7 +34,7 @@
 
 	private final Scheduler scheduler;
 
-	private final FleetGossip<LimitsUpdate> broadcaster;
+	private final FleetGossip<LimitsUpdate> gossip;
 
 	private final DecisionLog log;
 
@@ -54,7 +54,7 @@
 		this.scheduler = scheduler;
 		this.log = log;
 		this.registry = new LimitRegistry(scheduler, holders);
-		this.broadcaster = new FleetGossip<>(scheduler, network, routes, LimitsUpdate.class, this);
+		this.gossip = new FleetGossip<>(scheduler, network, routes, LimitsUpdate.class, this);
 		metrics.gauge("gateway.limits.named", () -> this.registry::size);
 	}
 
@@ -70,8 +70,8 @@
 	 * Removes the limit of an endpoint that has ended.
 	 * @param endpoint the endpoint
 	 */
-	public void forget(EndpointStart endpoint) {
-		this.registry.forget(endpoint);
+	public void remove(EndpointStart endpoint) {
+		this.registry.remove(endpoint);
 	}
 
 	@Override
@@ -81,7 +81,7 @@
 
 	@Override
 	public boolean permits(EndpointStart endpoint) {
-		return this.registry.open(endpoint);
+		return this.registry.permits(endpoint);
 	}
 
 	@Override
@@ -100,7 +100,7 @@
 		double reported = perSecond.orElse(LimitsUpdate.Limit.UNLIMITED);
 		if (this.registry.update(endpoint, reported, now)) {
 			this.log.belief("endpoint", endpoint, "limit", reported);
-			this.broadcaster.publish(new LimitsUpdate(List.of(this.registry.toMessage(endpoint))));
+			this.gossip.publish(new LimitsUpdate(List.of(this.registry.toMessage(endpoint))));
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/LimitRegistry.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/LimitRegistry.java
@@ -73,7 +73,7 @@
 	/**
 	 * Updates the limit of an endpoint.
 	 * @param endpoint the endpoint
-	 * @param perSecond the limit, or {@link LimitsTold.Limit#UNLIMITED}
+	 * @param perSecond the limit, or {@link LimitsUpdate.Limit#UNLIMITED}
 	 * @param at when the endpoint reported it
 	 * @return whether to broadcast the update, because the limit has changed or was last
 	 * reported more than {@link #REFRESH_PERIOD} earlier
@@ -110,7 +110,7 @@
 	 * @param endpoint the endpoint
 	 * @return true if it names no limit, or this daemon's share of it permits a request
 	 */
-	boolean open(EndpointStart endpoint) {
+	boolean permits(EndpointStart endpoint) {
 		Limit limit = current(endpoint);
 		if (limit == null) {
 			return true;
@@ -126,7 +126,7 @@
 		}
 	}
 
-	void forget(EndpointStart endpoint) {
+	void remove(EndpointStart endpoint) {
 		this.limits.remove(endpoint);
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadExchange.java
@@ -77,7 +77,7 @@
 
 	private final VmId self;
 
-	private final LoadTopology routes;
+	private final LoadTopology topology;
 
 	private final LoadTracker loads;
 
@@ -106,16 +106,16 @@
 	 * @param scheduler the daemon's scheduler
 	 * @param network the connections to peers
 	 * @param self this daemon's VM
-	 * @param routes the recipients of updates and sums
+	 * @param topology the daemons with which load is exchanged
 	 * @param loads the load by endpoint
 	 * @param demands the demand by service
 	 */
-	public LoadExchange(Scheduler scheduler, PeerNetwork network, VmId self, LoadTopology routes, LoadTracker loads,
+	public LoadExchange(Scheduler scheduler, PeerNetwork network, VmId self, LoadTopology topology, LoadTracker loads,
 			DemandTracker demands) {
 		this.scheduler = scheduler;
 		this.network = network;
 		this.self = self;
-		this.routes = routes;
+		this.topology = topology;
 		this.loads = loads;
 		this.demands = demands;
 		this.unresponsivePeers = new UnresponsivePeers(scheduler);
@@ -172,15 +172,15 @@
 	}
 
 	private Collection<VmId> recipients() {
-		if (this.routes.flat()) {
+		if (this.topology.flat()) {
 			return this.network.connected();
 		}
-		return this.routes.isRelay() ? otherRelays() : this.routes.relays();
+		return this.topology.isRelay() ? otherRelays() : this.topology.relays();
 	}
 
 	private Collection<VmId> otherRelays() {
-		List<VmId> all = new ArrayList<>(this.routes.relays());
-		all.addAll(this.routes.remoteRelays());
+		List<VmId> all = new ArrayList<>(this.topology.relays());
+		all.addAll(this.topology.remoteRelays());
 		return all;
 	}
 
@@ -200,11 +200,11 @@
 	 * for each of 18 daemons took 4 in 100 of a core at 172 endpoints.
 	 */
 	private void sendSums() {
-		if (this.routes.flat()) {
+		if (this.topology.flat()) {
 			return;
 		}
-		this.unresponsivePeers.expectOnly(this.routes.isRelay() ? otherRelays() : List.of());
-		if (!this.routes.isRelay()) {
+		this.unresponsivePeers.expectOnly(this.topology.isRelay() ? otherRelays() : List.of());
+		if (!this.topology.isRelay()) {
 			return;
 		}
 		long now = this.scheduler.nanos();
@@ -217,12 +217,12 @@
 			included.put(vm.value(), load.sequence());
 		});
 		this.toRelays.next(sum, false, Map.of(), Set.of())
-			.ifPresent((message) -> sendUnlessCongested(this.routes.remoteRelays(), message));
+			.ifPresent((message) -> sendUnlessCongested(this.topology.remoteRelays(), message));
 		sum.accumulate(this.loads.shares(), this.demands.demands(), 1);
 		this.relayLoads.values().forEach((load) -> sum.accumulate(load.shares(now), load.demands(), 1));
 		this.dataCentreLoads.values().forEach((load) -> sum.accumulate(load.shares(now), load.demands(), 1));
 		this.toMembers.next(sum, true, included, unresponsiveRelays())
-			.ifPresent((message) -> sendUnlessCongested(this.routes.members(), message));
+			.ifPresent((message) -> sendUnlessCongested(this.topology.members(), message));
 	}
 
 	private Set<VmId> unresponsiveRelays() {
@@ -267,7 +267,7 @@
 	private void onUpdate(Incarnation from, LoadUpdate message) {
 		List<LoadUpdate.Share> shares = orEmpty(message.shares());
 		List<LoadUpdate.Demand> peerDemands = orEmpty(message.demands());
-		if (this.routes.flat() || this.routes.isRelay()) {
+		if (this.topology.flat() || this.topology.isRelay()) {
 			this.unresponsivePeers.received(from.vm());
 			boolean relay = isRelay(from.vm());
 			(relay ? this.memberLoads : this.relayLoads).remove(from.vm());
@@ -286,12 +286,12 @@
 	 * @return true for a relay
 	 */
 	private boolean isRelay(VmId vm) {
-		boolean sameDataCentre = this.routes.dataCentre(vm).equals(this.routes.dataCentre(this.self));
-		return !sameDataCentre || this.routes.relays().contains(vm);
+		boolean sameDataCentre = this.topology.dataCentre(vm).equals(this.topology.dataCentre(this.self));
+		return !sameDataCentre || this.topology.relays().contains(vm);
 	}
 
 	private void onSum(Incarnation from, LoadSummary message) {
-		if (this.routes.flat() || message.fleet() == this.routes.isRelay()) {
+		if (this.topology.flat() || message.fleet() == this.topology.isRelay()) {
 			// Relays compute the sum over the fleet themselves, and the sums that relays
 			// exchange are for relays only.
 			return;
@@ -299,7 +299,7 @@
 		Optional<LoadUpdate> own = ownUpdate(message);
 		List<LoadUpdate.Share> others = sharesWithout(own, orEmpty(message.shares()));
 		List<LoadUpdate.Demand> otherDemands = demandsWithout(own, orEmpty(message.demands()));
-		String source = message.fleet() ? FLEET : this.routes.dataCentre(from.vm());
+		String source = message.fleet() ? FLEET : this.topology.dataCentre(from.vm());
 		if (!message.fleet()) {
 			this.dataCentreLoads.computeIfAbsent(source, (dataCentre) -> new RemoteLoad())
 				.update(message.full(), 0, others, otherDemands, this.scheduler.nanos());
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/JsonDecisionLog.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/log/JsonDecisionLog.java
@@ -50,7 +50,7 @@
 	public JsonDecisionLog(OutputStream output, String daemon, Supplier<Instant> time) {
 		this.time = time;
 		this.daemon = daemon;
-		this.writer = new Thread(() -> write(output), "log");
+		this.writer = new Thread(() -> writeTo(output), "log");
 		this.writer.setDaemon(true);
 		this.writer.start();
 	}
@@ -99,7 +99,7 @@
 		}
 	}
 
-	private void write(OutputStream output) {
+	private void writeTo(OutputStream output) {
 		try {
 			for (String line = this.queue.take(); !line.equals(END_MARKER); line = this.queue.take()) {
 				output.write(line.getBytes(StandardCharsets.UTF_8));
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/BackendEntries.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/BackendEntries.java
@@ -71,7 +71,7 @@
 			EndpointStart start = this.starts.remove(object.name());
 			if (start != null) {
 				this.backends.remove(start.id(), this.afterOutage.getAsBoolean());
-				forget(start);
+				remove(start);
 			}
 			return;
 		}
@@ -87,7 +87,7 @@
 		this.unreadable.remove(name);
 		EndpointStart previous = this.starts.put(name, backend.start());
 		if (previous != null && !previous.equals(backend.start())) {
-			forget(previous);
+			remove(previous);
 		}
 		this.backends.put(backend);
 	}
@@ -109,9 +109,9 @@
 		}
 	}
 
-	private void forget(EndpointStart start) {
+	private void remove(EndpointStart start) {
 		this.loads.remove(start);
-		this.health.forget(start);
+		this.health.remove(start);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetDirectory.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetDirectory.java
@@ -109,14 +109,14 @@
 		if (flat() || !isRelay()) {
 			return List.of();
 		}
-		List<VmId> near = new ArrayList<>(members());
-		near.remove(from);
+		List<VmId> members = new ArrayList<>(members());
+		members.remove(from);
 		boolean fromOwnDataCentre = dataCentre(from).equals(this.membership.dataCentre().value());
-		return fromOwnDataCentre ? relayTargets(near) : near;
+		return fromOwnDataCentre ? relayTargets(members) : members;
 	}
 
-	private Collection<VmId> relayTargets(Collection<VmId> near) {
-		List<VmId> targets = new ArrayList<>(near);
+	private Collection<VmId> relayTargets(Collection<VmId> members) {
+		List<VmId> targets = new ArrayList<>(members);
 		targets.addAll(remoteRelays());
 		return targets;
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewayNode.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewayNode.java
@@ -53,7 +53,7 @@
  * <p>
  * Invariant: components are called on the loop's thread only. The public methods may be
  * called from any other thread, except where they say otherwise. <pre>
- * GatewayNode node = GatewayNode.create(settings, parts, onStopped);
+ * GatewayNode node = GatewayNode.create(settings, dependencies, onStopped);
  * node.start();
  * </pre>
  */
@@ -70,7 +70,7 @@
 
 	private final GatewaySettings settings;
 
-	private final Dependencies parts;
+	private final Dependencies dependencies;
 
 	private final SplittableRandom random = new SplittableRandom();
 
@@ -116,49 +116,51 @@
 
 	private final Registration registration;
 
-	private GatewayNode(GatewaySettings settings, Dependencies parts, RegisteredDaemons daemons,
+	private GatewayNode(GatewaySettings settings, Dependencies dependencies, RegisteredDaemons daemons,
 			Registration registration, Runnable onStopped) {
 		this.settings = settings;
-		this.parts = parts;
+		this.dependencies = dependencies;
 		this.registration = registration;
-		NettyLoop loop = parts.loop();
-		DecisionLog log = parts.log();
+		NettyLoop loop = dependencies.loop();
+		DecisionLog log = dependencies.log();
 		this.self = new Incarnation(settings.vm(), registration.start());
 		PeerSetup peers = new PeerSetup(settings, this.self);
 		this.backends = new BackendTable(loop, log);
-		ObjectCopies catalogKind = new ObjectCopies(new CatalogEntry(parts.documents(), this.catalogs, log)::changed);
+		ObjectCopies catalogCopies = new ObjectCopies(
+				new CatalogEntry(dependencies.documents(), this.catalogs, log)::changed);
 		this.health = new BackendHealth(loop, log);
 		this.loads = new LoadTracker(loop);
-		ObjectCopies backendKind = new ObjectCopies(new BackendEntries(parts.documents(), this.backends, this.health,
-				this.loads, this::mayHaveExpired, log)::changed);
+		ObjectCopies backendCopies = new ObjectCopies(new BackendEntries(dependencies.documents(), this.backends,
+				this.health, this.loads, this::mayHaveExpired, log)::changed);
 		FollowTimes times = FollowTimes.within(settings.propagationLimit());
-		this.catalogFollower = follower(parts.documents().catalogKind(), daemons, catalogKind, times);
-		this.backendFollower = follower(parts.documents().backendKind(), daemons, backendKind, times);
+		this.catalogFollower = follower(dependencies.documents().catalogKind(), daemons, catalogCopies, times);
+		this.backendFollower = follower(dependencies.documents().backendKind(), daemons, backendCopies, times);
 		this.network = new TcpPeerNetwork(peers.connections(), loop.forPeers(), loop,
-				new MessageCodec(peers.messages()), this.random, parts.metrics());
+				new MessageCodec(peers.messages()), this.random, dependencies.metrics());
 		this.membership = MembershipService.builder()
 			.settings(peers.membership())
 			.scheduler(loop)
 			.network(this.network)
 			.store(daemons)
 			.random(this.random)
-			.metrics(parts.metrics())
+			.metrics(dependencies.metrics())
 			.build();
 		this.directory = new FleetDirectory(this.membership);
-		BackendConnectionPool connections = new BackendConnectionPool(loop, parts.dialect());
+		BackendConnectionPool connections = new BackendConnectionPool(loop, dependencies.dialect());
 		this.crashes = new FleetCrashGuard(
-				new FleetCrashGuard.Ports(loop, this.network, this.directory, parts.store(), log, parts.metrics()),
+				new FleetCrashGuard.Ports(loop, this.network, this.directory, dependencies.store(), log,
+						dependencies.metrics()),
 				connections, this.backends::acceptsRequests, () -> this.directory.storeRank() == 0);
-		this.limits = new FleetLimits(loop, this.network, this.directory, this.directory, log, parts.metrics());
+		this.limits = new FleetLimits(loop, this.network, this.directory, this.directory, log, dependencies.metrics());
 		this.backends.onUnplannedEnd((endpoint) -> {
 			this.crashes.endpointRemoved(endpoint);
-			this.limits.forget(endpoint);
+			this.limits.remove(endpoint);
 		});
-		ObjectCopies crashKind = new ObjectCopies(this.crashes::recordChanged);
-		this.crashFollower = follower(FleetCrashGuard.KIND, daemons, crashKind, FollowTimes.RELAXED);
+		ObjectCopies crashCopies = new ObjectCopies(this.crashes::recordChanged);
+		this.crashFollower = follower(FleetCrashGuard.KIND, daemons, crashCopies, FollowTimes.RELAXED);
 		this.copies = new PeerCopies(
-				this.self, loop, this.network, Map.of(parts.documents().catalogKind(), catalogKind,
-						parts.documents().backendKind(), backendKind, FleetCrashGuard.KIND, crashKind),
+				this.self, loop, this.network, Map.of(dependencies.documents().catalogKind(), catalogCopies,
+						dependencies.documents().backendKind(), backendCopies, FleetCrashGuard.KIND, crashCopies),
 				this.directory, log);
 		DemandTracker demands = new DemandTracker(loop);
 		this.loadExchange = new LoadExchange(loop, this.network, settings.vm(), this.directory, this.loads, demands);
@@ -169,38 +171,38 @@
 				this.random);
 		EndpointNotices notices = new EndpointNotices(
 				new FleetPresence(loop, this.network, this.directory, this.backends), this.health);
-		parts.orders().onNotice(notices::apply);
-		MemoryHolds holds = new MemoryHolds(loop, parts.orders(), this.backends::hasRestarted, notices::acceptsRequests,
-				this.self.toString(), log);
+		dependencies.orders().onNotice(notices::apply);
+		MemoryHolds holds = new MemoryHolds(loop, dependencies.orders(), this.backends::hasRestarted,
+				notices::acceptsRequests, this.self.toString(), log);
 		GatewayPorts ports = new GatewayPorts(loop, settings.dataCentre(), connections,
 				(request) -> (request.service().engine().isPresent() ? enginePlacement : plainPlacement).place(request),
-				notices, this.health, this.loads, demands, retryWindow(), this.limits, this.crashes, holds,
-				this.loadExchange::sendUpdate, log, new GatewayMetrics(parts.metrics()));
+				notices, this.health, this.loads, demands, retryBudget(), this.limits, this.crashes, holds,
+				this.loadExchange::sendUpdate, log, new GatewayMetrics(dependencies.metrics()));
 		this.service = new GatewayService(ports, this.catalogs, this::accepts, this.random);
 		StartupQueue requests = new StartupQueue(loop, this::configured, this.service);
-		this.callers = new CallerServer(loop, requests, parts.dialect(),
+		this.callers = new CallerServer(loop, requests, dependencies.dialect(),
 				() -> this.catalogs.current().map(Catalog::limits).orElse(CallerLimits.DEFAULT));
 		this.status = new FleetStatus(this.membership, this.backends, this.health, this.loads, this.catalogs);
 		this.leave = new LeaveSequence(loop, settings, new LeaveActions(onStopped), log);
-		parts.metrics().gauge("gateway.connections.callers", () -> this.callers::connections);
-		parts.metrics().gauge("gateway.connections.opened", () -> connections::openedCount);
-		parts.metrics().gauge("gateway.connections.reused", () -> connections::reusedCount);
-		parts.metrics().gauge("gateway.unfinished", () -> this.service::activeRequestCount);
+		dependencies.metrics().gauge("gateway.connections.callers", () -> this.callers::connections);
+		dependencies.metrics().gauge("gateway.connections.opened", () -> connections::openedCount);
+		dependencies.metrics().gauge("gateway.connections.reused", () -> connections::reusedCount);
+		dependencies.metrics().gauge("gateway.unfinished", () -> this.service::activeRequestCount);
 	}
 
 	/**
 	 * Creates a daemon that doesn't listen yet; blocks while its own record is read.
 	 * @param settings its settings
-	 * @param parts its external dependencies
+	 * @param dependencies its external dependencies
 	 * @param onStopped called once when a planned stop is complete
 	 * @return the daemon
 	 */
-	public static GatewayNode create(GatewaySettings settings, Dependencies parts, Runnable onStopped) {
-		RegisteredDaemons daemons = new RegisteredDaemons(parts.store());
-		Registration registration = Registration.afterPreviousStart(settings, parts, daemons);
+	public static GatewayNode create(GatewaySettings settings, Dependencies dependencies, Runnable onStopped) {
+		RegisteredDaemons daemons = new RegisteredDaemons(dependencies.store());
+		Registration registration = Registration.afterPreviousStart(settings, dependencies, daemons);
 		return CompletableFuture
-			.supplyAsync(() -> new GatewayNode(settings, parts, daemons, registration, onStopped),
-					parts.loop()::execute)
+			.supplyAsync(() -> new GatewayNode(settings, dependencies, daemons, registration, onStopped),
+					dependencies.loop()::execute)
 			.join();
 	}
 
@@ -211,14 +213,14 @@
 	public void start() throws Exception {
 		this.callers.listen(this.settings.callers());
 		this.network.start(this.directory);
-		CompletableFuture.runAsync(this::startComponents, this.parts.loop()::execute).get();
+		CompletableFuture.runAsync(this::startComponents, this.dependencies.loop()::execute).get();
 	}
 
 	/**
 	 * Starts the planned stop.
 	 */
 	public void beginLeave() {
-		this.parts.loop().execute(this.leave::begin);
+		this.dependencies.loop().execute(this.leave::begin);
 	}
 
 	/**
@@ -246,7 +248,7 @@
 	 * @return the wait, not started
 	 */
 	public FirstAddresses firstAddresses() {
-		return new FirstAddresses(this.parts.loop(), this::addresses);
+		return new FirstAddresses(this.dependencies.loop(), this::addresses);
 	}
 
 	/**
@@ -274,7 +276,7 @@
 	 * @return the summary
 	 */
 	public StatusSummary status() {
-		return new StatusSummary(this.self, this.parts.loop().wallTime(), ready(),
+		return new StatusSummary(this.self, this.dependencies.loop().wallTime(), ready(),
 				this.catalogs.current().map(Catalog::version).orElse(0L), this.backendFollower.silence().toMillis(),
 				this.status.daemons(), this.status.endpoints(), List.of(), List.of());
 	}
@@ -286,7 +288,7 @@
 		this.membership.start();
 		this.copies.start();
 		this.loadExchange.start();
-		this.parts.loop().repeat(SWEEP_INTERVAL, () -> {
+		this.dependencies.loop().repeat(SWEEP_INTERVAL, () -> {
 			this.backends.expire();
 			this.crashes.expire();
 			this.entries.observe();
@@ -295,8 +297,8 @@
 	}
 
 	private StoreFollower follower(String kind, ObjectStore store, ObjectCopies copies, FollowTimes times) {
-		StoreFollower follower = new StoreFollower(kind, this.parts.loop(), this.random, store, copies,
-				new StoreOrder(), times, this.parts.log());
+		StoreFollower follower = new StoreFollower(kind, this.dependencies.loop(), this.random, store, copies,
+				new StoreOrder(), times, this.dependencies.log());
 		follower
 			.onUpdate((from) -> this.copies.push(kind, from, follower.sinceOutage(), this.directory.storeRank() == 0));
 		return follower;
@@ -316,8 +318,8 @@
 		return this.leave.accepts(timeLeft);
 	}
 
-	private RetryBudget retryWindow() {
-		return new RetryBudget(this.parts.loop(), this.settings.retryWindow(), this.settings.retryRatio(),
+	private RetryBudget retryBudget() {
+		return new RetryBudget(this.dependencies.loop(), this.settings.retryWindow(), this.settings.retryRatio(),
 				this.settings.retryConstant(), () -> Math.max(1, this.membership.expected()));
 	}
 
@@ -371,7 +373,7 @@
 		}
 
 		@Override
-		public int unfinished() {
+		public int activeRequestCount() {
 			return GatewayNode.this.service.activeRequestCount();
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewaySettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewaySettings.java
@@ -38,7 +38,7 @@
 			throw new IllegalArgumentException("grace must be positive, was " + grace);
 		}
 		if (propagationLimit.isNegative() || propagationLimit.isZero()) {
-			throw new IllegalArgumentException("changeWithin must be positive, was " + propagationLimit);
+			throw new IllegalArgumentException("propagationLimit must be positive, was " + propagationLimit);
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/LeaveSequence.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/LeaveSequence.java
@@ -60,7 +60,8 @@
 		}
 		this.begun = true;
 		this.begunAt = this.scheduler.nanos();
-		this.log.daemon("stop", "unfinished", this.actions.unfinished(), "connections", this.actions.connections());
+		this.log.daemon("stop", "unfinished", this.actions.activeRequestCount(), "connections",
+				this.actions.connections());
 		this.actions.announce();
 		this.checks = this.scheduler.repeat(CHECK_INTERVAL, this::check);
 	}
@@ -96,11 +97,12 @@
 
 	private void check() {
 		Duration elapsed = elapsed();
-		boolean idle = elapsed.compareTo(addressRetention().plus(CHECK_INTERVAL)) > 0 && this.actions.unfinished() == 0;
+		boolean idle = elapsed.compareTo(addressRetention().plus(CHECK_INTERVAL)) > 0
+				&& this.actions.activeRequestCount() == 0;
 		boolean expired = elapsed.compareTo(maxDuration()) > 0;
 		if (expired || idle) {
 			this.checks.cancel();
-			this.log.daemon("end", "unfinished", this.actions.unfinished(), "after_ms", elapsed.toMillis());
+			this.log.daemon("end", "unfinished", this.actions.activeRequestCount(), "after_ms", elapsed.toMillis());
 			this.actions.end();
 		}
 	}
@@ -113,7 +115,7 @@
 		/** Announces the stop to peers and callers. */
 		void announce();
 
-		int unfinished();
+		int activeRequestCount();
 
 		int connections();
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/OperatorAnswers.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/OperatorAnswers.java
@@ -45,13 +45,13 @@
 	}
 
 	@Override
-	public SimpleHttpServer.Response apply(SimpleHttpServer.Request question) {
+	public SimpleHttpServer.Response apply(SimpleHttpServer.Request request) {
 		try {
-			return switch (question.path()) {
-				case "/" -> reply(TEXT, problemText());
-				case "/v1/operator/status" -> reply(JSON, OperatorJson.write(report()));
-				case "/v1/operator/dump" -> reply(JSON, OperatorJson.write(this.node.dump()));
-				case "/v1/operator/metrics", "/metrics" -> reply(MetricsExport.TEXT_TYPE, this.metrics.text());
+			return switch (request.path()) {
+				case "/" -> response(TEXT, problemText());
+				case "/v1/operator/status" -> response(JSON, OperatorJson.write(report()));
+				case "/v1/operator/dump" -> response(JSON, OperatorJson.write(this.node.dump()));
+				case "/v1/operator/metrics", "/metrics" -> response(MetricsExport.TEXT_TYPE, this.metrics.text());
 				default -> SimpleHttpServer.Response.NOT_FOUND;
 			};
 		}
@@ -76,7 +76,7 @@
 		return text.toString();
 	}
 
-	private static SimpleHttpServer.Response reply(String type, String body) {
+	private static SimpleHttpServer.Response response(String type, String body) {
 		return new SimpleHttpServer.Response(OK, type, body.getBytes(StandardCharsets.UTF_8));
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/Registration.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/Registration.java
@@ -40,10 +40,10 @@
 
 	private long version;
 
-	private Registration(GatewaySettings settings, GatewayNode.Dependencies parts, RegisteredDaemons daemons,
+	private Registration(GatewaySettings settings, GatewayNode.Dependencies dependencies, RegisteredDaemons daemons,
 			long start, long version) {
-		this.scheduler = parts.loop();
-		this.log = parts.log();
+		this.scheduler = dependencies.loop();
+		this.log = dependencies.log();
 		this.daemons = daemons;
 		this.settings = settings;
 		this.start = start;
@@ -53,18 +53,18 @@
 	/**
 	 * Reads the record of the daemon's previous start and numbers this one after it.
 	 * @param settings the daemon's settings
-	 * @param parts the daemon's external dependencies
+	 * @param dependencies the daemon's external dependencies
 	 * @param daemons the records in the store
 	 * @return the registration, not yet written
 	 */
-	static Registration afterPreviousStart(GatewaySettings settings, GatewayNode.Dependencies parts,
+	static Registration afterPreviousStart(GatewaySettings settings, GatewayNode.Dependencies dependencies,
 			RegisteredDaemons daemons) {
-		long now = parts.loop().wallTime().toEpochMilli();
-		RegisteredDaemons.VersionedRecord previous = previousRecord(settings, parts, daemons);
+		long now = dependencies.loop().wallTime().toEpochMilli();
+		RegisteredDaemons.VersionedRecord previous = previousRecord(settings, dependencies, daemons);
 		if (previous == null) {
-			return new Registration(settings, parts, daemons, now, 0);
+			return new Registration(settings, dependencies, daemons, now, 0);
 		}
-		return new Registration(settings, parts, daemons, previous.record().startAfter(now), previous.version());
+		return new Registration(settings, dependencies, daemons, previous.record().startAfter(now), previous.version());
 	}
 
 	/**
@@ -100,9 +100,9 @@
 	}
 
 	private static RegisteredDaemons.VersionedRecord previousRecord(GatewaySettings settings,
-			GatewayNode.Dependencies parts, RegisteredDaemons daemons) {
+			GatewayNode.Dependencies dependencies, RegisteredDaemons daemons) {
 		CompletableFuture<RegisteredDaemons.VersionedRecord> found = new CompletableFuture<>();
-		parts.loop().execute(() -> daemons.find(settings.vm()).whenComplete((registered, failure) -> {
+		dependencies.loop().execute(() -> daemons.find(settings.vm()).whenComplete((registered, failure) -> {
 			if (failure == null) {
 				found.complete(registered.orElse(null));
 			}
@@ -114,7 +114,7 @@
 			return found.get(READ_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
 		}
 		catch (ExecutionException | TimeoutException ex) {
-			parts.log().belief("store", DaemonRecord.KIND, "record_before", "unknown", "cause", ex.toString());
+			dependencies.log().belief("store", DaemonRecord.KIND, "record_before", "unknown", "cause", ex.toString());
 			return null;
 		}
 		catch (InterruptedException ex) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/EnginePlacement.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/EnginePlacement.java
@@ -371,8 +371,8 @@
 
 	/**
 	 * The engines of a request's service that it has not been sent to yet. Engines with a
-	 * rate limit or in backoff belong to no lane, since a lane's size is derived from the
-	 * work that its engines can take.
+	 * rate limit or in back-off belong to no lane, since a lane's size is derived from
+	 * the work that its engines can take.
 	 * @param request the request
 	 * @param profile the profile of the engines
 	 * @return the candidates
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/LanePlan.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/LanePlan.java
@@ -42,14 +42,15 @@
 	 * @param slots the slots of each engine
 	 * @param shortActive the number of active short requests
 	 * @param shortLaneFill the share of the short lane's slots that these may occupy
-	 * @param shortRoomy the share that they may occupy while the long lane keeps enough
-	 * engines to share one prompt
+	 * @param shortLaneFillWithSpare the share that they may occupy while the long lane
+	 * keeps enough engines to share one prompt
 	 * @return the plan; both lanes have an engine if there are at least two engines
 	 */
-	public static LanePlan of(int engines, int slots, int shortActive, double shortLaneFill, double shortRoomy) {
+	public static LanePlan of(int engines, int slots, int shortActive, double shortLaneFill,
+			double shortLaneFillWithSpare) {
 		int shortReserve = Math.max(1, (int) Math.round(engines * SHORT_RESERVE));
 		int needed = enginesFor(shortActive, slots, shortLaneFill);
-		int neededWithSpare = Math.min(enginesFor(shortActive, slots, shortRoomy),
+		int neededWithSpare = Math.min(enginesFor(shortActive, slots, shortLaneFillWithSpare),
 				engines - EnginePlacement.MAX_PREFILL_ENGINES);
 		int forShort = Math.max(shortReserve, Math.max(needed, neededWithSpare));
 		int longReserve = Math.max(1, (int) Math.round(engines * LONG_RESERVE));
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacedWork.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacedWork.java
@@ -12,8 +12,8 @@
  * The load of one placed request: its work at the target and at each helper.
  *
  * <p>
- * Invariant: after {@link #end()} the load board has no work of this request. Confined to
- * the load board's thread.
+ * Invariant: after {@link #end()} the load tracker has no work of this request. Confined
+ * to the load tracker's thread.
  */
 public final class PlacedWork {
 
@@ -24,7 +24,7 @@
 
 	/**
 	 * Records a request as sent according to its placement.
-	 * @param loads the load board
+	 * @param loads the load tracker
 	 * @param placement the placement; must have a target
 	 * @param route the request's route
 	 * @param tokens the KV-cache tokens that it needs on all engines together
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/Placement.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/Placement.java
@@ -37,15 +37,15 @@
 	 * A placement at an endpoint.
 	 * @param target the endpoint
 	 * @param helpers engines that prefill parts of the prompt
-	 * @param readMillis the prefill time of the target's and of each helper's part, ms
-	 * @param firstMillis the predicted time until the first event, ms
+	 * @param prefillMillis the prefill time of the target's and of each helper's part, ms
+	 * @param firstEventMillis the predicted time until the first event, ms
 	 * @param reason the reason for the decision
 	 * @return the placement
 	 */
-	public static Placement at(Backend target, List<Backend> helpers, double readMillis, double firstMillis,
+	public static Placement at(Backend target, List<Backend> helpers, double prefillMillis, double firstEventMillis,
 			String reason) {
-		return new Placement(Optional.of(target), List.copyOf(helpers), List.of(), readMillis, firstMillis, reason,
-				Duration.ZERO, false);
+		return new Placement(Optional.of(target), List.copyOf(helpers), List.of(), prefillMillis, firstEventMillis,
+				reason, Duration.ZERO, false);
 	}
 
 	/**
@@ -88,12 +88,12 @@
 	/**
 	 * A placement that keeps a request waiting at this daemon, since sending it now would
 	 * be worse.
-	 * @param firstMillis the predicted time until the first event, ms
+	 * @param firstEventMillis the predicted time until the first event, ms
 	 * @param reason the reason for waiting
 	 * @return the placement
 	 */
-	public static Placement waiting(double firstMillis, String reason) {
-		return new Placement(Optional.empty(), List.of(), List.of(), 0, firstMillis, reason, Duration.ZERO, true);
+	public static Placement waiting(double firstEventMillis, String reason) {
+		return new Placement(Optional.empty(), List.of(), List.of(), 0, firstEventMillis, reason, Duration.ZERO, true);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlainPlacement.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlainPlacement.java
@@ -83,7 +83,7 @@
 	 * The refusal of a request for which no endpoint is available.
 	 * @param usable the endpoints of its service
 	 * @param request the request
-	 * @param health the endpoints' backoff
+	 * @param health the endpoints' back-off
 	 * @return the refusal, with the reason and the time until the first endpoint becomes
 	 * available
 	 */
@@ -111,12 +111,12 @@
 	 * The time until an endpoint becomes available to this daemon.
 	 * @param backend the endpoint
 	 * @param request the request
-	 * @param health the endpoint's backoff
+	 * @param health the endpoint's back-off
 	 * @return the time, zero if it is available now
 	 */
 	private static Duration availableIn(Backend backend, PlacementRequest request, BackendHealth health) {
-		Duration rest = health.backoffLeft(backend.start());
-		return (rest.isZero() && !request.limits().permits(backend.start())) ? LIMITED_RETRY_DELAY : rest;
+		Duration backoff = health.backoffLeft(backend.start());
+		return (backoff.isZero() && !request.limits().permits(backend.start())) ? LIMITED_RETRY_DELAY : backoff;
 	}
 
 	private double score(Backend backend, PlacementRequest request) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/Attempt.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/Attempt.java
@@ -19,7 +19,7 @@
  *
  * <p>
  * Invariant: after {@link #cancel} it makes no further calls to its request, and its work
- * is removed from the load board. Confined to the scheduler's thread.
+ * is removed from the load tracker. Confined to the scheduler's thread.
  */
 final class Attempt implements BackendListener {
 
@@ -44,10 +44,10 @@
 	private static final int MAX_PAUSE_MULTIPLE = 4;
 
 	/**
-	 * Fraction of the caller's patience that an attempt may use. The caller gives up when
-	 * its patience ends, and a second endpoint needs the rest of it.
+	 * Fraction of the caller timeout that an attempt may use. The caller gives up when
+	 * the timeout ends, and a second endpoint needs the rest of it.
 	 */
-	private static final double PATIENCE_FRACTION = 0.6;
+	private static final double CALLER_TIMEOUT_FRACTION = 0.6;
 
 	/**
 	 * Fraction of the time left that an attempt without events may use; a retry needs the
@@ -288,7 +288,7 @@
 		Route route = this.request.route();
 		double predicted = 2 * this.placement.firstEventMillis() + FIRST_EVENT_SLACK.toMillis();
 		double target = 2 * route.targetLatency().toMillis() + TARGET_SLACK.toMillis();
-		double limit = PATIENCE_FRACTION * route.callerTimeout().toMillis();
+		double limit = CALLER_TIMEOUT_FRACTION * route.callerTimeout().toMillis();
 		if (!route.streaming()) {
 			limit = TIME_LEFT_FRACTION * this.request.timeLeft().toMillis();
 		}
@@ -299,7 +299,8 @@
 		Route route = this.request.route();
 		long longestSilence = Math.max(MIN_SILENCE_TIMEOUT.toMillis(),
 				MAX_PAUSE_MULTIPLE * route.longestPause().toMillis());
-		return Duration.ofMillis((long) Math.min(longestSilence, PATIENCE_FRACTION * route.callerTimeout().toMillis()));
+		return Duration
+			.ofMillis((long) Math.min(longestSilence, CALLER_TIMEOUT_FRACTION * route.callerTimeout().toMillis()));
 	}
 
 	private void restartSilenceTimer(Duration limit) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/DeferredRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/DeferredRequest.java
@@ -11,7 +11,7 @@
  * other prompts. Its demand is shared with other daemons while it is deferred.
  *
  * <p>
- * Invariant: the demand board counts the request exactly while it is deferred. Confined
+ * Invariant: the demand tracker counts the request exactly while it is deferred. Confined
  * to the scheduler's thread.
  */
 final class DeferredRequest {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/GatewayPorts.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/GatewayPorts.java
@@ -24,7 +24,7 @@
  * @param health records the outcomes of requests to endpoints
  * @param loads records the work in progress at endpoints
  * @param demands records the demand for each service
- * @param retries limits retries
+ * @param retryBudget limits retries
  * @param limits decides which endpoints may receive a request now
  * @param crashes identifies requests that crash endpoints
  * @param holds reserves memory on engines
@@ -33,7 +33,7 @@
  * @param metrics records outcomes and durations
  */
 public record GatewayPorts(Scheduler scheduler, DataCentre dataCentre, BackendClient client, PlacementPolicy placement,
-		EndpointNotices notices, BackendHealth health, LoadTracker loads, DemandTracker demands, RetryBudget retries,
-		EndpointLimits limits, CrashGuard crashes, MemoryHolds holds, Runnable onLongPromptSent, DecisionLog log,
-		GatewayMetrics metrics) {
+		EndpointNotices notices, BackendHealth health, LoadTracker loads, DemandTracker demands,
+		RetryBudget retryBudget, EndpointLimits limits, CrashGuard crashes, MemoryHolds holds,
+		Runnable onLongPromptSent, DecisionLog log, GatewayMetrics metrics) {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/RelayedRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/RelayedRequest.java
@@ -84,7 +84,7 @@
 		this.arrivedAt = ports.scheduler().nanos();
 		this.deadline = this.arrivedAt + request.timeWithin(resolved.route().timeout()).toNanos();
 		this.longPrompt = resolved.isLong(request.promptTokens());
-		this.retryState = new RetryState(ports.retries(), resolved);
+		this.retryState = new RetryState(ports.retryBudget(), resolved);
 		this.lastEventId = request.lastEventId().orElse(null);
 		this.deferral = new DeferredRequest(ports, request.id(), resolved.service().name(),
 				resolved.prefillMillis(request.promptTokens()));
@@ -96,7 +96,7 @@
 
 	void start() {
 		Service service = this.resolved.service();
-		this.ports.retries().recordRequest(service.name());
+		this.ports.retryBudget().recordRequest(service.name());
 		if (!this.longPrompt) {
 			this.ports.demands().shortBegan(service.name());
 		}
@@ -318,13 +318,13 @@
 	}
 
 	/**
-	 * Returns how long the caller is expected to wait: for the route's patience until the
-	 * first event, and for the rest of its time once the stream has started.
+	 * Returns how long the caller is expected to wait: for the route's caller timeout
+	 * until the first event, and for the rest of its time once the stream has started.
 	 * @return the time
 	 */
 	private Duration callerTimeLeft() {
-		Duration patience = this.resolved.route().callerTimeout().minus(elapsed());
-		return (!this.responseStarted && patience.compareTo(timeLeft()) < 0) ? patience : timeLeft();
+		Duration callerTimeoutLeft = this.resolved.route().callerTimeout().minus(elapsed());
+		return (!this.responseStarted && callerTimeoutLeft.compareTo(timeLeft()) < 0) ? callerTimeoutLeft : timeLeft();
 	}
 
 	private void refusedBy(Attempt from, BackendHead head) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/StartupQueue.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/StartupQueue.java
@@ -16,10 +16,10 @@
  * back. It obtains what it needs within a tenth of a second; a caller that is refused in
  * the meantime has used one of its two tries and retries half a second later: after a
  * loss of power, this happened to twelve of the first thirty requests. Invariants: each
- * request taken is passed on once and in order, unless its caller has disconnected, at
+ * accepted request is passed on once and in order, unless its caller has disconnected, at
  * the latest {@link #MAX_HOLD} after the start; later ones aren't held. Confined to the
  * scheduler's thread. <pre>
- * CallerRequestHandler requests = new StartQueue(scheduler, node::ready, service);
+ * CallerRequestHandler requests = new StartupQueue(scheduler, node::ready, service);
  * </pre>
  */
 public final class StartupQueue implements CallerRequestHandler {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/BackendHealthTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/BackendHealthTests.java
@@ -62,7 +62,7 @@
 		this.health.backoffRequested(ID, Duration.ofSeconds(3));
 		this.health.backoffRequested(ID, Duration.ofSeconds(1));
 		this.health.served(ID);
-		this.health.forget(ID);
+		this.health.remove(ID);
 		this.scheduler.advance(Duration.ofMillis(2_999));
 		Truth.assertThat(this.health.avoid(ID)).isTrue();
 		Truth.assertThat(this.health.backoffLeft(ID)).isEqualTo(Duration.ofMillis(1));
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/LeavingEndpointTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/LeavingEndpointTests.java
@@ -71,7 +71,7 @@
 				fleet.restart(daemons - 1);
 			}
 		});
-		Truth.assertThat(fleet.daemons.get(daemons - 1).offers(leaving)).isFalse();
+		Truth.assertThat(fleet.daemons.get(daemons - 1).acceptsRequests(leaving)).isFalse();
 		Truth.assertThat(leaving.arrivalCount(LEAVE_TIME + 3_000, END)).isEqualTo(0);
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/catalog/CatalogTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/catalog/CatalogTests.java
@@ -60,7 +60,7 @@
 	@ParameterizedTest
 	@CsvSource({ "250, 300, 1000, 3000, 250, 3000", "600, 1500, 250, 300, 250, 1500", "0, 300, 600, 1500, 600, 1500",
 			"0, 300, 0, 300, 1000, 1000" })
-	void combinesStreamAimsOfRoutes(long pause, long target, long otherPause, long otherTarget, long strictest,
+	void combinesStreamTargetsOfRoutes(long pause, long target, long otherPause, long otherTarget, long strictest,
 			long slowest) {
 		Catalog streams = Catalog.builder(1)
 			.service(new Service(new ServiceName("quotes"), 9, Optional.empty()))
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashFaultsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashFaultsTests.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Randomised tests of deadly requests, which crash the endpoints that run them, with
- * random fleets and faults.
+ * Randomised tests of requests that crash the endpoints that run them, with random fleets
+ * and faults.
  *
  * <p>
  * {@code -Dcrash.seeds=1000} runs more seeds.
@@ -37,7 +37,7 @@
 	void deadlyRequestsReachFewEndpointsAndOthersAreNotSuspected(long seed) {
 		Random random = new Random(seed);
 		GatewayFleet fleet = new GatewayFleet(1 + random.nextInt(40), 8 + random.nextInt(30), seed);
-		int deadly = 1 + random.nextInt(3);
+		int crashing = 1 + random.nextInt(3);
 		int pause = 100 + random.nextInt(1_500);
 		boolean restarts = random.nextBoolean();
 		boolean outages = random.nextBoolean();
@@ -45,7 +45,7 @@
 		List<SimulatedCaller> others = new ArrayList<>();
 		for (int millis = 0; millis < 60_000; millis += 20) {
 			if (random.nextInt(pause / 20) == 0) {
-				fleet.call(SimulatedEndpoint.DEADLY + random.nextInt(deadly));
+				fleet.call(SimulatedEndpoint.CRASHING + random.nextInt(crashing));
 			}
 			others.add(fleet.call((random.nextInt(3) == 0) ? "popular" : "other " + millis));
 			if (restarts && random.nextInt(100) == 0) {
@@ -59,8 +59,8 @@
 			}
 			fleet.scheduler.advance(Duration.ofMillis(20));
 		}
-		for (int i = 0; i < deadly; i++) {
-			Truth.assertThat(fleet.lateArrivals(SimulatedEndpoint.DEADLY + i)).isAtMost(MAX_FURTHER_ARRIVALS);
+		for (int i = 0; i < crashing; i++) {
+			Truth.assertThat(fleet.lateArrivals(SimulatedEndpoint.CRASHING + i)).isAtMost(MAX_FURTHER_ARRIVALS);
 		}
 		Truth.assertThat(others.stream().filter(SimulatedCaller::suspected).count()).isEqualTo(0);
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashRegistryTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashRegistryTests.java
@@ -12,7 +12,7 @@
  */
 class CrashRegistryTests {
 
-	private static final RequestDigest DEADLY = new RequestDigest("deadly");
+	private static final RequestDigest CRASHING = new RequestDigest("deadly");
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
@@ -22,37 +22,37 @@
 	@Test
 	void evictsRequestsWithFewestCrashesWhenFull() {
 		for (int i = 0; i < CrashRegistry.TRIAL_THRESHOLD; i++) {
-			this.registry.crashed(DEADLY, endpoint(i));
+			this.registry.crashed(CRASHING, endpoint(i));
 		}
 		for (int i = 0; i < 3 * CrashRegistry.MAX_SUSPECTS; i++) {
 			this.registry.crashed(new RequestDigest("made up " + i), endpoint(0));
 		}
 		Truth.assertThat(this.registry.suspectCount()).isEqualTo(CrashRegistry.MAX_SUSPECTS);
-		Truth.assertThat(this.registry.verdict(DEADLY, 0)).isEqualTo(Verdict.TRIAL);
+		Truth.assertThat(this.registry.verdict(CRASHING, 0)).isEqualTo(Verdict.TRIAL);
 	}
 
 	/** Guards against a crash that daemons repeat to each other forever. */
 	@Test
 	void stopsRepeatingACrashButRemembersIt() {
-		this.registry.crashed(DEADLY, endpoint(1));
+		this.registry.crashed(CRASHING, endpoint(1));
 		Truth.assertThat(this.registry.crashesToRepeat(20)).hasSize(1);
 		this.scheduler.advance(CrashRegistry.REPEAT_PERIOD.plus(Duration.ofSeconds(1)));
 		Truth.assertThat(this.registry.crashesToRepeat(20)).isEmpty();
-		Truth.assertThat(this.registry.verdict(DEADLY, 0)).isEqualTo(Verdict.SUSPECT);
+		Truth.assertThat(this.registry.verdict(CRASHING, 0)).isEqualTo(Verdict.SUSPECT);
 	}
 
 	@Test
 	void countsAnEndpointOnce() {
-		Truth.assertThat(this.registry.crashed(DEADLY, endpoint(1))).isTrue();
-		Truth.assertThat(this.registry.crashed(DEADLY, endpoint(1))).isFalse();
-		Truth.assertThat(this.registry.crashes(DEADLY)).isEqualTo(1);
+		Truth.assertThat(this.registry.crashed(CRASHING, endpoint(1))).isTrue();
+		Truth.assertThat(this.registry.crashed(CRASHING, endpoint(1))).isFalse();
+		Truth.assertThat(this.registry.crashes(CRASHING)).isEqualTo(1);
 	}
 
 	@Test
 	void retractedCrashIsNotCounted() {
-		this.registry.crashed(DEADLY, endpoint(1));
+		this.registry.crashed(CRASHING, endpoint(1));
 		Truth.assertThat(this.registry.retractCrashes(endpoint(1))).isTrue();
-		Truth.assertThat(this.registry.verdict(DEADLY, 0)).isEqualTo(Verdict.CLEAR);
+		Truth.assertThat(this.registry.verdict(CRASHING, 0)).isEqualTo(Verdict.CLEAR);
 	}
 
 	private static EndpointStart endpoint(int number) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashingRequestTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashingRequestTests.java
@@ -19,7 +19,7 @@
  */
 class CrashingRequestTests {
 
-	private static final String DEADLY = SimulatedEndpoint.DEADLY;
+	private static final String CRASHING = SimulatedEndpoint.CRASHING;
 
 	private static final String HARMLESS = "harmless";
 
@@ -40,7 +40,7 @@
 		Random random = new Random(seed);
 		for (int millis = 0; millis < 60_000; millis += 50) {
 			if (millis % pauseMillis == 0) {
-				fleet.call(DEADLY);
+				fleet.call(CRASHING);
 			}
 			if (random.nextInt(3) == 0) {
 				fleet.call("other " + millis);
@@ -48,7 +48,7 @@
 			restarts.at(millis, fleet);
 			fleet.scheduler.advance(Duration.ofMillis(50));
 		}
-		List<Long> arrivals = fleet.arrivals(DEADLY);
+		List<Long> arrivals = fleet.arrivals(CRASHING);
 		long known = arrivals.get(GatewayFleet.CRASH_THRESHOLD - 1) + GatewayFleet.SETTLING_TIME.toMillis();
 		Truth.assertThat(arrivals.stream().filter((millis) -> millis > known).count()).isAtMost(MAX_FURTHER_ARRIVALS);
 	}
@@ -61,15 +61,15 @@
 	void knownCrashingRequestIsRefusedAtOnceWithLongRetryAfter() {
 		GatewayFleet fleet = new GatewayFleet(9, ENDPOINTS, 1);
 		for (int i = 0; i < 20; i++) {
-			fleet.call(DEADLY);
+			fleet.call(CRASHING);
 			fleet.scheduler.advance(Duration.ofSeconds(1));
 		}
-		int arrived = fleet.arrivals(DEADLY).size();
-		SimulatedCaller caller = fleet.call(DEADLY);
+		int arrived = fleet.arrivals(CRASHING).size();
+		SimulatedCaller caller = fleet.call(CRASHING);
 		Truth.assertThat(caller.response()).isEqualTo("own 503");
 		Truth.assertThat(caller.retryAfter()).isAtLeast(Duration.ofSeconds(30));
 		fleet.scheduler.advance(Duration.ofSeconds(5));
-		Truth.assertThat(fleet.arrivals(DEADLY)).hasSize(arrived);
+		Truth.assertThat(fleet.arrivals(CRASHING)).hasSize(arrived);
 	}
 
 	/** Guards against trials that aren't counted while the store is unavailable. */
@@ -78,10 +78,10 @@
 		GatewayFleet fleet = new GatewayFleet(9, ENDPOINTS, 2);
 		fleet.store.setUnavailable(true);
 		for (int i = 0; i < 100; i++) {
-			fleet.call(DEADLY);
+			fleet.call(CRASHING);
 			fleet.scheduler.advance(Duration.ofMillis(300));
 		}
-		List<Long> arrivals = fleet.arrivals(DEADLY);
+		List<Long> arrivals = fleet.arrivals(CRASHING);
 		long known = arrivals.get(GatewayFleet.CRASH_THRESHOLD - 1) + GatewayFleet.SETTLING_TIME.toMillis();
 		Truth.assertThat(arrivals.stream().filter((millis) -> millis > known).count()).isEqualTo(0);
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/GatewayFleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/GatewayFleet.java
@@ -102,8 +102,8 @@
 	/**
 	 * Sends a request to a daemon.
 	 * @param daemon the daemon's index
-	 * @param text the request's body; one that contains {@link SimulatedEndpoint#DEADLY}
-	 * crashes each endpoint that runs it
+	 * @param text the request's body; one that contains
+	 * {@link SimulatedEndpoint#CRASHING} crashes each endpoint that runs it
 	 * @return the caller, which records the answer
 	 */
 	public SimulatedCaller call(int daemon, String text) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedDaemon.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedDaemon.java
@@ -242,7 +242,7 @@
 	 * @param endpoint the endpoint
 	 * @return false once it knows that the endpoint is leaving or was removed
 	 */
-	public boolean offers(SimulatedEndpoint endpoint) {
+	public boolean acceptsRequests(SimulatedEndpoint endpoint) {
 		return this.backends.acceptsRequests(endpoint.backend);
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedEndpoint.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/fleet/SimulatedEndpoint.java
@@ -17,7 +17,7 @@
 public final class SimulatedEndpoint {
 
 	/** A request whose body contains this text crashes each endpoint that runs it. */
-	public static final String DEADLY = "deadly";
+	public static final String CRASHING = "deadly";
 
 	/**
 	 * Time after its first answer with a limit from which on a daemon must observe that
@@ -28,7 +28,7 @@
 	/** Time that an endpoint takes to serve a request. */
 	private static final Duration SERVICE_TIME = Duration.ofMillis(200);
 
-	/** Time after which a deadly request crashes the endpoint that runs it. */
+	/** Time after which a crashing request ends the endpoint that runs it. */
 	private static final Duration CRASH_DELAY = Duration.ofMillis(90);
 
 	static final Duration REFUSAL_LATENCY = Duration.ofMillis(2);
@@ -168,7 +168,7 @@
 			return;
 		}
 		this.running.add(sent);
-		if (sent.text().contains(DEADLY)) {
+		if (sent.text().contains(CRASHING)) {
 			this.fleet.scheduler.schedule(CRASH_DELAY, () -> {
 				if (this.running.contains(sent)) {
 					crash();
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/CopyMessageCodecTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/CopyMessageCodecTests.java
@@ -38,35 +38,37 @@
 
 	@Test
 	void readsMessagesOfAVersionWithoutTimestamps() throws PeerProtocolException {
-		MessageCodec previous = codec(HeldWithoutTimes.class, ToldWithoutTimes.class);
+		MessageCodec previous = codec(DigestWithoutTimes.class, UpdateWithoutTimes.class);
 		MessageCodec current = codec(CopiesDigest.class, CopiesUpdate.class);
-		Truth.assertThat(current.decode(PEER, previous.encode(new HeldWithoutTimes(List.of()))))
+		Truth.assertThat(current.decode(PEER, previous.encode(new DigestWithoutTimes(List.of()))))
 			.hasValue(new CopiesDigest(List.of(), null));
-		Truth.assertThat(current.decode(PEER, previous.encode(new ToldWithoutTimes("config", 7, 9, 120, 5, List.of()))))
+		Truth
+			.assertThat(
+					current.decode(PEER, previous.encode(new UpdateWithoutTimes("config", 7, 9, 120, 5, List.of()))))
 			.hasValue(new CopiesUpdate("config", 7, 9, 120, 5, List.of(), null));
 	}
 
 	@Test
 	void messagesAreReadByAVersionWithoutTimestamps() throws PeerProtocolException {
-		MessageCodec previous = codec(HeldWithoutTimes.class, ToldWithoutTimes.class);
+		MessageCodec previous = codec(DigestWithoutTimes.class, UpdateWithoutTimes.class);
 		MessageCodec current = codec(CopiesDigest.class, CopiesUpdate.class);
 		SendingTimes times = new SendingTimes(900, null, 0, 0);
 		Truth.assertThat(previous.decode(PEER, current.encode(new CopiesDigest(List.of(), times))))
-			.hasValue(new HeldWithoutTimes(List.of()));
+			.hasValue(new DigestWithoutTimes(List.of()));
 		Truth
 			.assertThat(
 					previous.decode(PEER, current.encode(new CopiesUpdate("config", 7, 9, 120, 5, List.of(), times))))
-			.hasValue(new ToldWithoutTimes("config", 7, 9, 120, 5, List.of()));
+			.hasValue(new UpdateWithoutTimes("config", 7, 9, 120, 5, List.of()));
 	}
 
-	private static MessageCodec codec(Class<? extends PeerMessage> held, Class<? extends PeerMessage> told) {
-		return new MessageCodec(MessageCatalog.builder().add(101, held).add(102, told).build());
+	private static MessageCodec codec(Class<? extends PeerMessage> digest, Class<? extends PeerMessage> update) {
+		return new MessageCodec(MessageCatalog.builder().add(101, digest).add(102, update).build());
 	}
 
-	private record HeldWithoutTimes(List<CopiesDigest.Held> kinds) implements PeerMessage {
+	private record DigestWithoutTimes(List<CopiesDigest.Held> kinds) implements PeerMessage {
 	}
 
-	private record ToldWithoutTimes(String kind, long from, long to, long ageMillis, long outageMillis,
+	private record UpdateWithoutTimes(String kind, long from, long to, long ageMillis, long outageMillis,
 			List<ObjectCopy> objects) implements PeerMessage {
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/RelayedTopology.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/RelayedTopology.java
@@ -40,11 +40,11 @@
 			}
 			return connected;
 		}
-		return firstHand(rank);
+		return originRecipients(rank);
 	}
 
 	@Override
-	public Set<Integer> firstHand(int rank) {
+	public Set<Integer> originRecipients(int rank) {
 		Set<Integer> recipients = new HashSet<>(FORWARDING);
 		if (rank < RELAYS) {
 			recipients.addAll(WATCHING);
@@ -57,7 +57,7 @@
 	}
 
 	@Override
-	public Set<Integer> passedOn(int rank, int from) {
+	public Set<Integer> forwardRecipients(int rank, int from) {
 		if (!FORWARDING.contains(rank)) {
 			return Set.of();
 		}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedFleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedFleet.java
@@ -129,7 +129,7 @@
 		 * @param rank its rank
 		 * @return their ranks
 		 */
-		Set<Integer> firstHand(int rank);
+		Set<Integer> originRecipients(int rank);
 
 		/**
 		 * The peers to which a daemon forwards an update of a peer.
@@ -137,7 +137,7 @@
 		 * @param from the peer's rank
 		 * @return their ranks
 		 */
-		Set<Integer> passedOn(int rank, int from);
+		Set<Integer> forwardRecipients(int rank, int from);
 
 	}
 
@@ -156,12 +156,12 @@
 		}
 
 		@Override
-		public Set<Integer> firstHand(int rank) {
+		public Set<Integer> originRecipients(int rank) {
 			return connected(rank);
 		}
 
 		@Override
-		public Set<Integer> passedOn(int rank, int from) {
+		public Set<Integer> forwardRecipients(int rank, int from) {
 			return Set.of();
 		}
 
@@ -310,12 +310,13 @@
 
 		@Override
 		public Collection<VmId> originRecipients() {
-			return vms(SimulatedFleet.this.topology.firstHand(this.rank));
+			return vms(SimulatedFleet.this.topology.originRecipients(this.rank));
 		}
 
 		@Override
 		public Collection<VmId> forwardRecipients(VmId from) {
-			return vms(SimulatedFleet.this.topology.passedOn(this.rank, Integer.parseInt(from.value().substring(1))));
+			return vms(SimulatedFleet.this.topology.forwardRecipients(this.rank,
+					Integer.parseInt(from.value().substring(1))));
 		}
 
 		private static Set<VmId> vms(Set<Integer> ranks) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SlowLinkTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SlowLinkTests.java
@@ -76,7 +76,7 @@
 		List<Long> readAt = new ArrayList<>();
 		for (int version = 1; version <= versions; version++) {
 			readAt.add(this.scheduler.nanos());
-			this.relay.kind.applyChanges(new WatchBatch(version, false, List.of(document(version, routes))));
+			this.relay.objectCopies.applyChanges(new WatchBatch(version, false, List.of(document(version, routes))));
 			this.relay.copies.push(KIND, version - 1, Duration.ofDays(1), true);
 			this.scheduler.advance(Duration.ofMillis(pause));
 		}
@@ -140,7 +140,7 @@
 
 		private final Map<VmId, Long> queued = new HashMap<>();
 
-		private final ObjectCopies kind = new ObjectCopies(
+		private final ObjectCopies objectCopies = new ObjectCopies(
 				(object) -> this.inForceAt.put(object.revision(), SlowLinkTests.this.scheduler.nanos()));
 
 		private final PeerCopies copies;
@@ -149,9 +149,9 @@
 
 		private Daemon(String name) {
 			this.self = new Incarnation(new VmId(name), 1);
-			this.kind.applyList(new WatchBatch(0, false, List.of()));
-			this.copies = new PeerCopies(this.self, SlowLinkTests.this.scheduler, this, Map.of(KIND, this.kind), this,
-					DecisionLog.NONE);
+			this.objectCopies.applyList(new WatchBatch(0, false, List.of()));
+			this.copies = new PeerCopies(this.self, SlowLinkTests.this.scheduler, this, Map.of(KIND, this.objectCopies),
+					this, DecisionLog.NONE);
 			listen(LoadSummary.class, (from, message) -> {
 			});
 		}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/LoadExchangeTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/LoadExchangeTests.java
@@ -188,7 +188,7 @@
 	}
 
 	/**
-	 * A daemon with its load and demand boards, connected to the others in memory.
+	 * A daemon with its load and demand trackers, connected to the others in memory.
 	 */
 	private final class Daemon implements PeerNetwork, LoadTopology {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/LeaveSequenceTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/LeaveSequenceTests.java
@@ -22,7 +22,7 @@
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
-	private int unfinished;
+	private int activeRequests;
 
 	private int announced;
 
@@ -36,8 +36,8 @@
 
 	@ParameterizedTest
 	@CsvSource({ "0, 3000, 0", "0, 3300, 1", "1, 7200, 0", "1, 7500, 1" })
-	void endsOnceIdleAndBeforeItWouldBeKilled(int unfinished, long millis, int ended) {
-		this.unfinished = unfinished;
+	void endsOnceIdleAndBeforeItWouldBeKilled(int activeRequests, long millis, int ended) {
+		this.activeRequests = activeRequests;
 		this.leave.begin();
 		this.scheduler.advance(Duration.ofMillis(millis));
 		Truth.assertThat(this.ended).isEqualTo(ended);
@@ -51,7 +51,7 @@
 		// connection sends a streaming request six seconds after the stop began; the
 		// process exits 1.4 s later. Cause: requests were accepted until the last moment.
 		Truth.assertThat(this.leave.accepts(Duration.ofMillis(timeLeft))).isTrue();
-		this.unfinished = 1;
+		this.activeRequests = 1;
 		this.leave.begin();
 		this.scheduler.advance(Duration.ofMillis(millis));
 		Truth.assertThat(this.leave.accepts(Duration.ofMillis(timeLeft))).isEqualTo(accepted);
@@ -72,8 +72,8 @@
 	}
 
 	@Override
-	public int unfinished() {
-		return this.unfinished;
+	public int activeRequestCount() {
+		return this.activeRequests;
 	}
 
 	@Override
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/placement/EnginePlacementTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/placement/EnginePlacementTests.java
@@ -112,15 +112,15 @@
 	@ParameterizedTest
 	@CsvSource({ "5000", "45000", "182000", "700000" })
 	void enginesInBackoffAreNotUsed(long tokens) {
-		Set<EndpointStart> resting = Set.of(id(0), id(1), id(18), id(20));
-		resting.forEach((engine) -> this.health.backoffRequested(engine, Duration.ofSeconds(3)));
+		Set<EndpointStart> backingOff = Set.of(id(0), id(1), id(18), id(20));
+		backingOff.forEach((engine) -> this.health.backoffRequested(engine, Duration.ofSeconds(3)));
 		for (int i = 0; i < 20; i++) {
 			Placement placed = place(tokens);
 			Set<EndpointStart> used = new HashSet<>();
 			placed.helpers().forEach((helper) -> used.add(helper.start()));
 			placed.target().ifPresent((target) -> used.add(target.start()));
 			placed.holds().forEach((hold) -> used.add(hold.engine().start()));
-			Truth.assertThat(used).containsNoneIn(resting);
+			Truth.assertThat(used).containsNoneIn(backingOff);
 			Truth.assertThat(placed.target().isPresent()).isTrue();
 		}
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayFixture.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayFixture.java
@@ -197,9 +197,9 @@
 			this.listener.complete();
 		}
 
-		void refuseWithBackOff(Duration rest) {
+		void refuseWithBackoff(Duration backoff) {
 			this.listener.head(new BackendHead(503, List.of(), true, false, false,
-					new EndpointNotice(false, Optional.of(rest), OptionalDouble.empty()), Optional.empty()));
+					new EndpointNotice(false, Optional.of(backoff), OptionalDouble.empty()), Optional.empty()));
 			this.listener.complete();
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayedRequestTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayedRequestTests.java
@@ -175,8 +175,9 @@
 	@Test
 	void resumedStreamHasTheRestOfItsTimeout() {
 		// Guards against aborting a started stream while engines are free: an engine
-		// crashes 3 s after the request arrived, and the caller's patience for the first
-		// event is applied to the rest of the stream.
+		// crashes 3 s after the request arrived, and the caller timeout for the first
+		// event
+		// is applied to the rest of the stream.
 		this.fixture.call("/stream/1");
 		Truth.assertThat(this.fixture.lastPlacementRequest.timeLeft()).isEqualTo(Duration.ofSeconds(2));
 		for (int i = 1; i <= 6; i++) {
@@ -336,7 +337,7 @@
 	void refusalWithBackOffDoesNotCountAsUnreachable() {
 		this.fixture.call("/log/x");
 		Backend endpoint = this.fixture.last().to;
-		this.fixture.last().refuseWithBackOff(Duration.ofMillis(50));
+		this.fixture.last().refuseWithBackoff(Duration.ofMillis(50));
 		this.fixture.scheduler.advance(Duration.ofMillis(51));
 		Truth.assertThat(this.fixture.health.avoid(endpoint.start())).isFalse();
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RetryStateTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RetryStateTests.java
@@ -52,8 +52,8 @@
 			.maxAttempts(maxAttempts)
 			.idempotent(repeatable)
 			.build();
-		RetryBudget window = new RetryBudget(new ManualScheduler(), Duration.ofSeconds(10), 0, budget, () -> 1);
-		RetryState state = new RetryState(window,
+		RetryBudget retryBudget = new RetryBudget(new ManualScheduler(), Duration.ofSeconds(10), 0, budget, () -> 1);
+		RetryState state = new RetryState(retryBudget,
 				new ResolvedRoute(route, new Service(SERVICE, 1, Optional.empty()), Optional.empty(), 1));
 		for (int i = 0; i < attempts; i++) {
 			state.recordAttempt(EndpointStart.withUnknownStart("e" + i));
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/StartupQueueTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/StartupQueueTests.java
@@ -26,7 +26,7 @@
 
 	private boolean ready;
 
-	private final StartupQueue queue = new StartupQueue(this.scheduler, () -> this.ready, this::take);
+	private final StartupQueue queue = new StartupQueue(this.scheduler, () -> this.ready, this::handle);
 
 	@ParameterizedTest
 	@CsvSource({ "20, 100, 110", "20, 495, 500", "400, 450, 460", "20, 10000, 500" })
@@ -70,7 +70,7 @@
 				Optional.of(Duration.ofSeconds(1)), 0, 0, Optional.empty());
 	}
 
-	private Runnable take(CallerRequest request, CallerReply reply) {
+	private Runnable handle(CallerRequest request, CallerReply reply) {
 		this.taken.add(request.id());
 		request.timeLeft().ifPresent(this.left::add);
 		return () -> this.disconnected.add(request.id());
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/retry/RetryBudgetTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/retry/RetryBudgetTests.java
@@ -23,12 +23,12 @@
 	@ParameterizedTest
 	@CsvSource({ "0, 7, 8", "100, 7, 28", "100, 1, 81", "0, 1000, 0" })
 	void boundsRetriesByRequestsAndShareOfTheConstant(int requests, int daemons, int allowed) {
-		RetryBudget window = new RetryBudget(this.scheduler, WINDOW, 0.2, 102, () -> daemons);
+		RetryBudget budget = new RetryBudget(this.scheduler, WINDOW, 0.2, 102, () -> daemons);
 		for (int i = 0; i < requests; i++) {
-			window.recordRequest(SERVICE);
+			budget.recordRequest(SERVICE);
 		}
 		int retries = 0;
-		while (retries < 1_000 && window.tryRetry(SERVICE)) {
+		while (retries < 1_000 && budget.tryRetry(SERVICE)) {
 			retries++;
 		}
 		Truth.assertThat(retries).isEqualTo(allowed);
@@ -38,12 +38,12 @@
 	void noWindowExceedsItsBudgetWhileAllRequestsFail() {
 		// Guards against retries that triple the load of the remaining endpoints: half of
 		// the endpoints fail, and each request is retried without a bound.
-		RetryBudget window = new RetryBudget(this.scheduler, WINDOW, 0.2, 102, () -> 7);
+		RetryBudget budget = new RetryBudget(this.scheduler, WINDOW, 0.2, 102, () -> 7);
 		int retries = 0;
 		for (int i = 0; i < 1_000; i++) {
-			window.recordRequest(SERVICE);
-			retries += window.tryRetry(SERVICE) ? 1 : 0;
-			retries += window.tryRetry(SERVICE) ? 1 : 0;
+			budget.recordRequest(SERVICE);
+			retries += budget.tryRetry(SERVICE) ? 1 : 0;
+			retries += budget.tryRetry(SERVICE) ? 1 : 0;
 			this.scheduler.advance(Duration.ofMillis(100));
 		}
 		// 1,000 requests in 100 s: a fifth of them, and 8.7 in each of ten windows.
--- a/standins/src/main/java/org/bramleyscale/standins/platform/InMemoryObjectStore.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/InMemoryObjectStore.java
@@ -32,7 +32,7 @@
 
 	private final Duration timeout;
 
-	private boolean setPartitioned;
+	private boolean partitioned;
 
 	/**
 	 * Creates a caller's client.
@@ -49,10 +49,10 @@
 	/**
 	 * Partitions this caller from the platform, so that its calls are lost, or reconnects
 	 * it.
-	 * @param cutOff true to lose calls before they arrive
+	 * @param partitioned true to lose calls before they arrive
 	 */
-	public void setPartitioned(boolean cutOff) {
-		this.setPartitioned = cutOff;
+	public void setPartitioned(boolean partitioned) {
+		this.partitioned = partitioned;
 	}
 
 	@Override
@@ -90,7 +90,7 @@
 		CompletableFuture<T> result = new CompletableFuture<>();
 		Cancellable timeoutTask = this.scheduler.schedule(callTimeout,
 				() -> result.completeExceptionally(timeoutException(operation)));
-		if (!this.setPartitioned) {
+		if (!this.partitioned) {
 			this.service.scheduler()
 				.execute(() -> request.get()
 					.whenComplete((value, failure) -> this.scheduler
--- a/standins/src/test/java/org/bramleyscale/standins/platform/LeasePropertyTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/LeasePropertyTests.java
@@ -52,7 +52,7 @@
 	 */
 	enum Action {
 
-		PAUSE, RESUME, CUT_OFF, RECONNECT, FAULT, CLEAR, STEP_CLOCK
+		PAUSE, RESUME, PARTITION, RECONNECT, FAULT, CLEAR, STEP_CLOCK
 
 	}
 
@@ -68,7 +68,7 @@
 			switch (this.action) {
 				case PAUSE -> target.scheduler().pause();
 				case RESUME -> target.scheduler().resume();
-				case CUT_OFF -> target.store().setPartitioned(true);
+				case PARTITION -> target.store().setPartitioned(true);
 				case RECONNECT -> target.store().setPartitioned(false);
 				case FAULT ->
 					cluster.faults().inject(PlatformFault.of(this.kind).withDelay(FAULT_DELAY).times(this.calls));
