--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/ChannelPeerLink.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/ChannelPeerLink.java
@@ -9,9 +9,9 @@
  * A link over a Netty channel.
  *
  * <p>
- * Invariant: the bytes queued for a peer that doesn't read never exceed the bound; beyond
- * it frames are refused, so that one stuck peer can't fill the heap. Safe for use by
- * multiple threads.
+ * Invariant: the bytes queued for a peer that doesn't read never exceed
+ * {@link TcpPeerSettings#mostQueuedBytes()}; further frames are refused, so that one
+ * blocked peer can't exhaust the heap. Safe for use by multiple threads.
  */
 final class ChannelPeerLink implements PeerLink {
 
@@ -25,13 +25,13 @@
 
 	private final TcpPeerNetwork network;
 
-	private final AtomicLong queued = new AtomicLong();
+	private final AtomicLong queuedBytes = new AtomicLong();
 
-	ChannelPeerLink(Channel channel, Greeting greeting, TcpPeerNetwork network) {
+	ChannelPeerLink(Channel channel, Handshake handshake, TcpPeerNetwork network) {
 		this.channel = channel;
-		this.remote = greeting.remote();
-		this.dialled = greeting.dialled();
-		this.replacing = greeting.replacing();
+		this.remote = handshake.remote();
+		this.dialled = handshake.dialled();
+		this.replacing = handshake.replacing();
 		this.network = network;
 	}
 
@@ -52,22 +52,23 @@
 
 	@Override
 	public boolean send(byte[] payload) {
-		int size = payload.length + PeerChannel.LENGTH_BYTES;
+		int frameBytes = payload.length + PeerChannel.LENGTH_BYTES;
 		if (!this.channel.isActive() || payload.length > this.network.settings().largestFrame()) {
 			return false;
 		}
-		if (this.queued.addAndGet(size) > this.network.settings().mostQueuedBytes()) {
-			this.queued.addAndGet(-size);
+		if (this.queuedBytes.addAndGet(frameBytes) > this.network.settings().mostQueuedBytes()) {
+			this.queuedBytes.addAndGet(-frameBytes);
 			return false;
 		}
-		this.channel.writeAndFlush(Unpooled.wrappedBuffer(payload)).addListener((done) -> this.queued.addAndGet(-size));
-		this.network.counters().sent(size);
+		this.channel.writeAndFlush(Unpooled.wrappedBuffer(payload))
+			.addListener((done) -> this.queuedBytes.addAndGet(-frameBytes));
+		this.network.counters().sent(frameBytes);
 		return true;
 	}
 
 	@Override
-	public long queued() {
-		return this.queued.get();
+	public long queuedBytes() {
+		return this.queuedBytes.get();
 	}
 
 	@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/DialBackoff.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/DialBackoff.java
@@ -3,39 +3,39 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The growing pause between failed dials to one VM.
+ * Computes the exponential back-off with jitter between failed dials to one VM.
  *
  * <p>
- * Jitter spreads the dials; without it all daemons that lost one VM at the same moment
- * would dial it again at the same moments. Confined to the scheduler's thread.
+ * Without jitter, all daemons that lost their connection to one VM at the same time would
+ * retry at the same times. Confined to the scheduler's thread.
  */
 final class DialBackoff {
 
-	private static final double LEAST_SHARE = 0.5;
+	private static final double MIN_JITTER_FACTOR = 0.5;
 
-	private static final int MOST_DOUBLINGS = 16;
+	private static final int MAX_DOUBLINGS = 16;
 
-	private final long shortest;
+	private final long minNanos;
 
-	private final long longest;
+	private final long maxNanos;
 
 	private final RandomGenerator random;
 
-	DialBackoff(PeerTimes times, RandomGenerator random) {
-		this.shortest = times.shortestBackoff().toNanos();
-		this.longest = times.longestBackoff().toNanos();
+	DialBackoff(PeerTimings timings, RandomGenerator random) {
+		this.minNanos = timings.minBackoff().toNanos();
+		this.maxNanos = timings.maxBackoff().toNanos();
 		this.random = random;
 	}
 
 	/**
-	 * How long to wait before the next dial.
-	 * @param failures failed dials in a row, at least 1
-	 * @return nanoseconds
+	 * Returns the delay before the next dial.
+	 * @param failures the number of consecutive failed dials, at least 1
+	 * @return the delay in nanoseconds
 	 */
-	long pause(int failures) {
-		int doublings = Math.min(failures - 1, MOST_DOUBLINGS);
-		long full = Math.min(this.longest, this.shortest << doublings);
-		return (long) (full * this.random.nextDouble(LEAST_SHARE, 1));
+	long delayNanos(int failures) {
+		int doublings = Math.min(failures - 1, MAX_DOUBLINGS);
+		long fullDelay = Math.min(this.maxNanos, this.minNanos << doublings);
+		return (long) (fullDelay * this.random.nextDouble(MIN_JITTER_FACTOR, 1));
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/InMemoryPeerHub.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/InMemoryPeerHub.java
@@ -15,12 +15,12 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * A network between daemons in one JVM, with switches for what can fail.
+ * A network between daemons in one JVM, with fault injection.
  *
  * <p>
- * Each message passes through the codec, so that nothing reaches a receiver that the wire
- * wouldn't carry, and arrives after a fixed latency, in the order of sending for each
- * pair. Confined to the scheduler's thread. <pre>
+ * Each message is encoded and decoded, so that a receiver gets only what the wire format
+ * can carry, and arrives after a fixed latency, in the order of sending for each pair.
+ * Confined to the scheduler's thread. <pre>
  * InMemoryPeerHub hub = new InMemoryPeerHub(scheduler, codec, Duration.ofMillis(1));
  * PeerNetwork first = hub.join(new Incarnation(new VmId("entry-1"), 1));
  * </pre>
@@ -36,13 +36,13 @@
 	private final Map<VmId, InMemoryPeerNetwork> networks = new TreeMap<>(
 			(left, right) -> left.value().compareTo(right.value()));
 
-	private final Set<Link> cut = new HashSet<>();
+	private final Set<Direction> cutDirections = new HashSet<>();
 
-	private final Set<Link> silent = new HashSet<>();
+	private final Set<Direction> silentDirections = new HashSet<>();
 
-	private final Map<VmId, List<Runnable>> held = new HashMap<>();
+	private final Map<VmId, List<Runnable>> heldDeliveries = new HashMap<>();
 
-	private final Map<Class<? extends PeerMessage>, Integer> toDrop = new HashMap<>();
+	private final Map<Class<? extends PeerMessage>, Integer> dropCounts = new HashMap<>();
 
 	private final Map<VmId, Long> bytesSent = new HashMap<>();
 
@@ -53,8 +53,8 @@
 	}
 
 	/**
-	 * Adds a daemon, connected to all others; a later start replaces an earlier one on
-	 * the same VM.
+	 * Adds a daemon, connected to all others. A later incarnation replaces an earlier one
+	 * on the same VM.
 	 * @param self the daemon
 	 * @return its network
 	 */
@@ -65,77 +65,77 @@
 	}
 
 	/**
-	 * Ends a daemon: its connections close at once and messages under way are lost.
-	 * @param vm where it runs
+	 * Removes a daemon: its connections close at once and messages in flight are lost.
+	 * @param vm the daemon's VM
 	 */
 	public void kill(VmId vm) {
 		this.networks.remove(vm);
 	}
 
 	/**
-	 * Breaks the connections between two VMs in a way that both notice.
+	 * Closes the connections between two VMs in a way that both sides detect.
 	 * @param left one VM
 	 * @param right the other VM
 	 */
 	public void cut(VmId left, VmId right) {
-		this.cut.add(new Link(left, right));
-		this.cut.add(new Link(right, left));
+		this.cutDirections.add(new Direction(left, right));
+		this.cutDirections.add(new Direction(right, left));
 	}
 
 	/**
-	 * Loses all messages in one direction without an error at either end.
+	 * Drops all messages in one direction without an error at either end.
 	 * @param from the VM whose messages are lost
-	 * @param to the VM that doesn't get them
+	 * @param to the VM that doesn't receive them
 	 */
 	public void silence(VmId from, VmId to) {
-		this.silent.add(new Link(from, to));
+		this.silentDirections.add(new Direction(from, to));
 	}
 
 	/**
-	 * Ends what {@link #cut} and {@link #silence} began between two VMs, in both
-	 * directions.
+	 * Reverts {@link #cut} and {@link #silence} between two VMs, in both directions.
 	 * @param left one VM
 	 * @param right the other VM
 	 */
 	public void heal(VmId left, VmId right) {
-		for (Link link : List.of(new Link(left, right), new Link(right, left))) {
-			this.cut.remove(link);
-			this.silent.remove(link);
+		for (Direction direction : List.of(new Direction(left, right), new Direction(right, left))) {
+			this.cutDirections.remove(direction);
+			this.silentDirections.remove(direction);
 		}
 	}
 
 	/**
-	 * Holds back all messages to and from a VM, as when its process is paused. Timers of
-	 * that daemon go on, since all daemons share the scheduler.
+	 * Holds back all messages to and from a VM, as if its process were paused. Timers of
+	 * that daemon keep running, since all daemons share the scheduler.
 	 * @param vm the VM
 	 */
 	public void pause(VmId vm) {
-		this.held.putIfAbsent(vm, new ArrayList<>());
+		this.heldDeliveries.putIfAbsent(vm, new ArrayList<>());
 	}
 
 	/**
-	 * Delivers what {@link #pause} held back.
+	 * Delivers the messages that {@link #pause} held back.
 	 * @param vm the VM
 	 */
 	public void resume(VmId vm) {
-		List<Runnable> deliveries = this.held.remove(vm);
+		List<Runnable> deliveries = this.heldDeliveries.remove(vm);
 		if (deliveries != null) {
 			deliveries.forEach(this.scheduler::execute);
 		}
 	}
 
 	/**
-	 * Loses the next message of a type, whoever sends it; calling again adds one more.
-	 * @param type the type
+	 * Drops the next message of a type from any sender; each further call drops one more.
+	 * @param type the type of message
 	 */
 	public void dropNext(Class<? extends PeerMessage> type) {
-		this.toDrop.merge(type, 1, Integer::sum);
+		this.dropCounts.merge(type, 1, Integer::sum);
 	}
 
 	/**
-	 * The bytes that a VM has put on the wire, each frame's length field included.
+	 * Returns the number of bytes that a VM has sent, including each frame's length
+	 * field.
 	 * @param vm the VM
-	 * @return the bytes since the hub was made
+	 * @return the bytes sent since the hub was created
 	 */
 	public long bytesSent(VmId vm) {
 		return this.bytesSent.getOrDefault(vm, 0L);
@@ -149,8 +149,8 @@
 		}
 		VmId sender = from.self().vm();
 		this.bytesSent.merge(sender, (long) Integer.BYTES + payload.length, Long::sum);
-		if (!dropped(message.getClass()) && !this.silent.contains(new Link(sender, to))) {
-			this.scheduler.schedule(this.latency, () -> arrive(from, receiver, payload));
+		if (!dropped(message.getClass()) && !this.silentDirections.contains(new Direction(sender, to))) {
+			this.scheduler.schedule(this.latency, () -> deliver(from, receiver, payload));
 		}
 		return true;
 	}
@@ -167,7 +167,7 @@
 
 	private boolean connected(InMemoryPeerNetwork from, InMemoryPeerNetwork to) {
 		return to != null && to != from && running(from) && running(to)
-				&& !this.cut.contains(new Link(from.self().vm(), to.self().vm()));
+				&& !this.cutDirections.contains(new Direction(from.self().vm(), to.self().vm()));
 	}
 
 	private boolean running(InMemoryPeerNetwork network) {
@@ -175,19 +175,19 @@
 	}
 
 	private boolean dropped(Class<? extends PeerMessage> type) {
-		int left = this.toDrop.getOrDefault(type, 0);
-		if (left == 0) {
+		int remaining = this.dropCounts.getOrDefault(type, 0);
+		if (remaining == 0) {
 			return false;
 		}
-		this.toDrop.put(type, left - 1);
+		this.dropCounts.put(type, remaining - 1);
 		return true;
 	}
 
-	private void arrive(InMemoryPeerNetwork from, InMemoryPeerNetwork to, byte[] payload) {
+	private void deliver(InMemoryPeerNetwork from, InMemoryPeerNetwork to, byte[] payload) {
 		for (InMemoryPeerNetwork end : List.of(from, to)) {
-			List<Runnable> deliveries = this.held.get(end.self().vm());
+			List<Runnable> deliveries = this.heldDeliveries.get(end.self().vm());
 			if (deliveries != null) {
-				deliveries.add(() -> arrive(from, to, payload));
+				deliveries.add(() -> deliver(from, to, payload));
 				return;
 			}
 		}
@@ -201,17 +201,17 @@
 			return this.codec.decode(from.self().toString(), payload).orElseThrow();
 		}
 		catch (PeerProtocolException ex) {
-			throw new IllegalStateException("the codec can't read what it wrote", ex);
+			throw new IllegalStateException("codec can't decode a payload that it encoded", ex);
 		}
 	}
 
 	/**
-	 * One direction between two VMs.
+	 * One direction of the traffic between two VMs.
 	 *
 	 * @param from the sender
 	 * @param to the receiver
 	 */
-	private record Link(VmId from, VmId to) {
+	private record Direction(VmId from, VmId to) {
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/InMemoryPeerNetwork.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/InMemoryPeerNetwork.java
@@ -6,7 +6,7 @@
 import org.bramleyscale.VmId;
 
 /**
- * One daemon's access to an {@link InMemoryPeerHub}.
+ * The network of one daemon of an {@link InMemoryPeerHub}.
  *
  * <p>
  * Confined to the scheduler's thread.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/MessageCatalog.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/MessageCatalog.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * The fixed code of each type of peer message.
+ * Maps each type of peer message to its fixed code.
  *
  * <p>
- * Codes are part of the wire protocol: a code is never given to another type. Each slice
- * enters its own messages in its own range. Immutable and safe for use by multiple
- * threads.
+ * Codes are part of the wire protocol: a code is never reassigned to another type. Each
+ * component registers its own messages in its own range. Immutable and safe for use by
+ * multiple threads.
  */
 public final class MessageCatalog {
 
@@ -28,7 +28,7 @@
 	}
 
 	/**
-	 * The code of a type.
+	 * Returns the code of a type.
 	 * @param type the type
 	 * @return its code
 	 * @throws IllegalArgumentException if the type has no code
@@ -42,9 +42,9 @@
 	}
 
 	/**
-	 * The type of a code.
+	 * Returns the type of a code.
 	 * @param code the code
-	 * @return the type, or empty if this version doesn't know the code
+	 * @return the type, or empty if the code is unknown to this version
 	 */
 	public Optional<Class<? extends PeerMessage>> type(int code) {
 		return Optional.ofNullable(this.typesByCode.get(code));
@@ -64,7 +64,7 @@
 
 		public Builder add(int code, Class<? extends PeerMessage> type) {
 			if (this.typesByCode.putIfAbsent(code, type) != null) {
-				throw new IllegalArgumentException("peer message code " + code + " is taken");
+				throw new IllegalArgumentException("peer message code " + code + " is already assigned");
 			}
 			this.codesByType.put(type, code);
 			return this;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/MessageCodec.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/MessageCodec.java
@@ -16,27 +16,27 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Writes peer messages as MessagePack and reads them back.
+ * Encodes peer messages as MessagePack and decodes them.
  *
  * <p>
  * A frame's payload is the array {@code [protocolVersion, code, body]}; the body is the
  * message's components in order. Components may be appended to a message without a new
- * protocol version: a reader ignores what it doesn't know and takes null or zero for what
- * is missing. A large payload travels packed, as {@code [protocolVersion, 0, [length,
- * packed payload]]}. Immutable and safe for use by multiple threads.
+ * protocol version: a decoder ignores unknown trailing components and takes null or zero
+ * for missing ones. A large payload is sent compressed, as {@code [protocolVersion, 0,
+ * [length, compressed payload]]}. Immutable and safe for use by multiple threads.
  */
 public final class MessageCodec {
 
-	/** The version of the frames that this code writes and reads. */
+	/** The version of the frames that this codec encodes and decodes. */
 	public static final int PROTOCOL_VERSION = 1;
 
-	/** The longest payload that is unpacked; the longest that is sent. */
-	static final int LARGEST_UNPACKED = TcpPeerSettings.DEFAULT_LARGEST_FRAME;
+	/** The limit on a decompressed payload, and on a payload that is sent. */
+	static final int MAX_UNCOMPRESSED_BYTES = TcpPeerSettings.DEFAULT_MAX_FRAME_BYTES;
 
-	private static final int FRAME_PARTS = 3;
+	private static final int FRAME_ELEMENTS = 3;
 
-	/** No message of the catalog has this code. */
-	private static final int PACKED = 0;
+	/** The code of a compressed frame; not assigned to any message of the catalog. */
+	private static final int COMPRESSED_CODE = 0;
 
 	private final MessageCatalog catalog;
 
@@ -47,52 +47,53 @@
 	}
 
 	/**
-	 * Writes a message.
+	 * Encodes a message.
 	 * @param message a message whose type is in the catalog
 	 * @return the payload of one frame, without its length
 	 */
 	public byte[] encode(PeerMessage message) {
-		byte[] payload = encodePlain(message);
-		// What the receiver wouldn't unpack is left as it is, for the sender to refuse.
-		boolean packs = payload.length >= FramePacking.SMALLEST && payload.length <= LARGEST_UNPACKED;
-		return packs ? packed(payload) : payload;
+		byte[] payload = encodeUncompressed(message);
+		// A payload over the limit stays uncompressed, so that the sender refuses it.
+		boolean compressible = payload.length >= PayloadCompression.MIN_PAYLOAD_BYTES
+				&& payload.length <= MAX_UNCOMPRESSED_BYTES;
+		return compressible ? compress(payload) : payload;
 	}
 
-	private static byte[] packed(byte[] payload) {
-		byte[] packed = FramePacking.pack(payload);
+	private static byte[] compress(byte[] payload) {
+		byte[] compressed = PayloadCompression.compress(payload);
 		try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-			packer.packArrayHeader(FRAME_PARTS).packInt(PROTOCOL_VERSION).packInt(PACKED);
+			packer.packArrayHeader(FRAME_ELEMENTS).packInt(PROTOCOL_VERSION).packInt(COMPRESSED_CODE);
 			packer.packArrayHeader(2).packInt(payload.length);
-			packer.packBinaryHeader(packed.length).writePayload(packed);
+			packer.packBinaryHeader(compressed.length).writePayload(compressed);
 			byte[] frame = packer.toByteArray();
 			return (frame.length < payload.length) ? frame : payload;
 		}
 		catch (IOException ex) {
-			throw new UncheckedIOException("a packed frame can't be written", ex);
+			throw new UncheckedIOException("compressed frame can't be encoded", ex);
 		}
 	}
 
-	private byte[] encodePlain(PeerMessage message) {
+	private byte[] encodeUncompressed(PeerMessage message) {
 		int code = this.catalog.code(message.getClass());
 		ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 		try (JsonGenerator generator = this.mapper.createGenerator(bytes)) {
-			generator.writeStartArray(null, FRAME_PARTS);
+			generator.writeStartArray(null, FRAME_ELEMENTS);
 			generator.writeNumber(PROTOCOL_VERSION);
 			generator.writeNumber(code);
 			this.mapper.writeValue(generator, message);
 			generator.writeEndArray();
 		}
 		catch (IOException ex) {
-			throw new UncheckedIOException("peer message " + message.getClass().getName() + " can't be written", ex);
+			throw new UncheckedIOException("peer message " + message.getClass().getName() + " can't be encoded", ex);
 		}
 		return bytes.toByteArray();
 	}
 
 	/**
-	 * Reads a message.
-	 * @param peer the sender, for the error
+	 * Decodes a message.
+	 * @param peer the sender, for error messages
 	 * @param payload the payload of one frame, without its length
-	 * @return the message, or empty if this version doesn't know its code
+	 * @return the message, or empty if its code is unknown to this version
 	 * @throws PeerProtocolException if the payload isn't a frame of this protocol
 	 */
 	public Optional<PeerMessage> decode(String peer, byte[] payload) throws PeerProtocolException {
@@ -100,67 +101,70 @@
 	}
 
 	/**
-	 * Reads a message of a sender that isn't proven yet, which may not make this side
-	 * unpack anything.
-	 * @param peer the sender, for the error
+	 * Decodes a message of a sender that isn't authenticated yet. Compressed frames
+	 * aren't decompressed, since a small one could expand to megabytes.
+	 * @param peer the sender, for error messages
 	 * @param payload the payload of one frame, without its length
-	 * @return the message, or empty if this version doesn't know its code
-	 * @throws PeerProtocolException if the payload isn't a plain frame of this protocol
+	 * @return the message, or empty if its code is unknown or the frame is compressed
+	 * @throws PeerProtocolException if the payload isn't a frame of this protocol
 	 */
-	Optional<PeerMessage> decodeUnproven(String peer, byte[] payload) throws PeerProtocolException {
+	Optional<PeerMessage> decodeUnauthenticated(String peer, byte[] payload) throws PeerProtocolException {
 		return decode(peer, payload, false);
 	}
 
-	private Optional<PeerMessage> decode(String peer, byte[] payload, boolean unpacks) throws PeerProtocolException {
+	private Optional<PeerMessage> decode(String peer, byte[] payload, boolean allowCompressed)
+			throws PeerProtocolException {
 		checkLengths(peer, payload);
-		byte[] inner;
+		byte[] decompressed;
 		try (JsonParser parser = this.mapper.createParser(payload)) {
-			int code = code(peer, parser);
-			if (code != PACKED || !unpacks) {
-				return message(peer, parser, code);
+			int code = readCode(peer, parser);
+			if (code != COMPRESSED_CODE || !allowCompressed) {
+				return readMessage(peer, parser, code);
 			}
-			inner = unpacked(peer, parser);
+			decompressed = decompress(peer, parser);
 		}
 		catch (IOException | RuntimeException ex) {
 			throw malformed(peer, ex.toString());
 		}
-		// Not before the parser is closed: those of one thread share their buffers.
-		return decode(peer, inner, false);
+		// Runs only after the parser is closed, since parsers of one thread share
+		// buffers.
+		return decode(peer, decompressed, false);
 	}
 
-	private static int code(String peer, JsonParser parser) throws IOException, PeerProtocolException {
-		expect(peer, parser.nextToken() == JsonToken.START_ARRAY, "a frame must be an array");
-		int version = nextInt(peer, parser);
+	private static int readCode(String peer, JsonParser parser) throws IOException, PeerProtocolException {
+		expect(peer, parser.nextToken() == JsonToken.START_ARRAY, "frame must be an array");
+		int version = readInt(peer, parser);
 		if (version != PROTOCOL_VERSION) {
 			throw new PeerProtocolException(PeerProtocolException.Kind.WRONG_VERSION, peer,
 					"protocol version must be " + PROTOCOL_VERSION + ", was " + version);
 		}
-		return nextInt(peer, parser);
+		return readInt(peer, parser);
 	}
 
-	private Optional<PeerMessage> message(String peer, JsonParser parser, int code)
+	private Optional<PeerMessage> readMessage(String peer, JsonParser parser, int code)
 			throws IOException, PeerProtocolException {
 		Optional<Class<? extends PeerMessage>> type = this.catalog.type(code);
 		if (type.isEmpty()) {
 			return Optional.empty();
 		}
-		expect(peer, parser.nextToken() == JsonToken.START_ARRAY, "a message must be an array");
+		expect(peer, parser.nextToken() == JsonToken.START_ARRAY, "message body must be an array");
 		PeerMessage message = this.mapper.readValue(parser, type.get());
-		expect(peer, parser.nextToken() == JsonToken.END_ARRAY, "a frame must have three parts");
+		expect(peer, parser.nextToken() == JsonToken.END_ARRAY, "frame must have three elements");
 		return Optional.of(message);
 	}
 
-	private static byte[] unpacked(String peer, JsonParser parser) throws IOException, PeerProtocolException {
-		expect(peer, parser.nextToken() == JsonToken.START_ARRAY, "a packed payload must be an array");
-		int length = nextInt(peer, parser);
-		expect(peer, length > 0 && length <= LARGEST_UNPACKED,
-				"a packed payload must have 1 to " + LARGEST_UNPACKED + " bytes, was " + length);
-		expect(peer, parser.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT, "a packed payload must have bytes");
-		byte[] packed = parser.getBinaryValue();
-		expect(peer, parser.nextToken() == JsonToken.END_ARRAY, "a packed payload must have a length and bytes");
-		expect(peer, parser.nextToken() == JsonToken.END_ARRAY, "a frame must have three parts");
+	private static byte[] decompress(String peer, JsonParser parser) throws IOException, PeerProtocolException {
+		expect(peer, parser.nextToken() == JsonToken.START_ARRAY, "compressed body must be an array");
+		int length = readInt(peer, parser);
+		expect(peer, length > 0 && length <= MAX_UNCOMPRESSED_BYTES,
+				"compressed payload must expand to 1 to " + MAX_UNCOMPRESSED_BYTES + " bytes, was " + length);
+		expect(peer, parser.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT,
+				"compressed payload must be a binary value");
+		byte[] compressed = parser.getBinaryValue();
+		expect(peer, parser.nextToken() == JsonToken.END_ARRAY, "compressed body must have two elements");
+		expect(peer, parser.nextToken() == JsonToken.END_ARRAY, "frame must have three elements");
 		try {
-			return FramePacking.unpack(packed, length);
+			return PayloadCompression.decompress(compressed, length);
 		}
 		catch (DataFormatException ex) {
 			throw malformed(peer, ex.toString());
@@ -168,26 +172,26 @@
 	}
 
 	/**
-	 * Refuses a payload whose inner lengths exceed it. The unpacker allocates what a
-	 * binary value's header claims before it reads the value, so that five bytes from a
-	 * stranger could claim two gigabytes and end the daemon with an OutOfMemoryError.
-	 * Skipping the value allocates nothing.
-	 * @param peer the sender, for the error
+	 * Rejects a payload whose inner lengths exceed it. The unpacker allocates the length
+	 * given in a binary value's header before it reads the value, so that five bytes from
+	 * an unauthenticated peer could claim two gigabytes and crash the daemon with an
+	 * OutOfMemoryError. Skipping the value allocates nothing.
+	 * @param peer the sender, for error messages
 	 * @param payload the payload
 	 * @throws PeerProtocolException if a length exceeds the payload
 	 */
 	private static void checkLengths(String peer, byte[] payload) throws PeerProtocolException {
 		try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(payload)) {
 			unpacker.skipValue();
-			expect(peer, unpacker.getTotalReadBytes() == payload.length, "a frame must be one value");
+			expect(peer, unpacker.getTotalReadBytes() == payload.length, "frame must be a single value");
 		}
 		catch (IOException | MessagePackException ex) {
 			throw malformed(peer, ex.toString());
 		}
 	}
 
-	private static int nextInt(String peer, JsonParser parser) throws IOException, PeerProtocolException {
-		expect(peer, parser.nextToken() == JsonToken.VALUE_NUMBER_INT, "version and code must be whole numbers");
+	private static int readInt(String peer, JsonParser parser) throws IOException, PeerProtocolException {
+		expect(peer, parser.nextToken() == JsonToken.VALUE_NUMBER_INT, "version, code and length must be integers");
 		return parser.getIntValue();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerConnections.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerConnections.java
@@ -17,12 +17,13 @@
  * Decides which connections to open, to use and to close.
  *
  * <p>
- * Of a pair of VMs that want each other, the one with the smaller name dials; the other
- * dials only if none comes within a grace time or if it has something to send. A
- * connection can go silent for good without an error while new ones work. It shows as a
- * link on which not even heartbeats are heard; a second link is then opened beside it,
- * and only once that one is proven is the silent one closed. Confined to the scheduler's
- * thread; deterministic given the clock and the random generator.
+ * Of two VMs that want a connection to each other, the one with the smaller name dials;
+ * the other dials only if no connection is opened within a grace period or if it has
+ * something to send. A connection can become silent permanently without an error while
+ * new ones work. Such a link receives nothing, not even heartbeats; a second link is then
+ * opened beside it, and the silent one is closed only once the second has completed its
+ * handshake. Confined to the scheduler's thread; deterministic given the clock and the
+ * random generator.
  */
 final class PeerConnections {
 
@@ -38,40 +39,40 @@
 
 	private final PeerDialler dialler;
 
-	private final PeerTimes times;
+	private final PeerTimings timings;
 
-	private final long mostPendingBytes;
+	private final long maxPendingBytes;
 
 	private final PeerCounters counters;
 
-	private final byte[] ping;
+	private final byte[] heartbeat;
 
 	private final Map<VmId, PeerState> states = new TreeMap<>(BY_NAME);
 
-	private final LinkRivalry rivalry;
+	private final DuplicateLinkResolver duplicateLinkResolver;
 
 	private long lastTick;
 
 	PeerConnections(PeerEnvironment environment) {
 		this.self = environment.self();
 		this.clock = environment.clock();
-		this.backoff = new DialBackoff(environment.times(), environment.random());
+		this.backoff = new DialBackoff(environment.timings(), environment.random());
 		this.directory = environment.directory();
 		this.dialler = environment.dialler();
-		this.times = environment.times();
-		this.mostPendingBytes = environment.mostPendingBytes();
+		this.timings = environment.timings();
+		this.maxPendingBytes = environment.maxPendingBytes();
 		this.counters = environment.counters();
-		this.ping = environment.ping();
+		this.heartbeat = environment.heartbeat();
 		this.lastTick = this.clock.nanos();
-		this.rivalry = new LinkRivalry(this.self, this.times.silence().toNanos());
+		this.duplicateLinkResolver = new DuplicateLinkResolver(this.self, this.timings.silenceTimeout().toNanos());
 	}
 
 	/**
-	 * Looks at each peer; to be called a few times a second.
+	 * Opens, pings and closes connections as needed; called a few times a second.
 	 */
 	void tick() {
 		long now = this.clock.nanos();
-		forgiveOwnPause(now);
+		resetAfterOwnPause(now);
 		Set<VmId> wanted = this.directory.wanted();
 		for (VmId vm : wanted) {
 			if (!vm.equals(this.self)) {
@@ -80,44 +81,44 @@
 		}
 		for (PeerState state : new ArrayList<>(this.states.values())) {
 			boolean isWanted = wanted.contains(state.vm());
-			closeUseless(state, isWanted, now);
-			state.ping(this.ping, this.times.heartbeat().toNanos(), now);
+			closeDeadAndIdle(state, isWanted, now);
+			state.sendHeartbeats(this.heartbeat, this.timings.heartbeatInterval().toNanos(), now);
 			expirePending(state, now);
 			dialIfNeeded(state, isWanted, now);
-			forgetIfUnused(state, isWanted, now);
+			removeIfUnused(state, isWanted, now);
 		}
 	}
 
 	boolean send(VmId to, byte[] payload) {
 		long now = this.clock.nanos();
 		PeerState state = this.states.get(to);
-		Optional<TrackedLink> link = (state != null) ? state.best(silentBefore(now)) : Optional.empty();
+		Optional<TrackedLink> link = (state != null) ? state.preferredLink(silentBefore(now)) : Optional.empty();
 		boolean accepted = link.isPresent() ? link.get().send(payload, now) : sendOnDemand(to, payload, now);
 		if (!accepted) {
-			this.counters.refusedSend();
+			this.counters.sendRefused();
 		}
 		return accepted;
 	}
 
 	/**
-	 * What waits to be sent to a VM.
+	 * Returns the number of bytes queued for a VM.
 	 * @param to the VM
-	 * @return the bytes that the connection in use hasn't taken
+	 * @return the bytes queued on the preferred link plus those pending for a new one
 	 */
-	long queued(VmId to) {
+	long queuedBytes(VmId to) {
 		PeerState state = this.states.get(to);
 		if (state == null) {
 			return 0;
 		}
-		long waiting = state.best(silentBefore(this.clock.nanos())).map(TrackedLink::queued).orElse(0L);
-		return waiting + state.pendingBytes();
+		long queued = state.preferredLink(silentBefore(this.clock.nanos())).map(TrackedLink::queuedBytes).orElse(0L);
+		return queued + state.pendingBytes();
 	}
 
 	Set<VmId> connected() {
 		long silentBefore = silentBefore(this.clock.nanos());
 		Set<VmId> result = new TreeSet<>(BY_NAME);
 		for (PeerState state : this.states.values()) {
-			if (state.heardSince(silentBefore)) {
+			if (state.receivedSince(silentBefore)) {
 				result.add(state.vm());
 			}
 		}
@@ -125,61 +126,61 @@
 	}
 
 	/**
-	 * Takes a link whose greeting is complete.
+	 * Adds a link whose handshake is complete.
 	 * @param link the link
 	 */
 	void opened(PeerLink link) {
 		long now = this.clock.nanos();
 		Incarnation remote = link.remote().incarnation();
 		PeerState state = this.states.computeIfAbsent(remote.vm(), (key) -> new PeerState(key, now));
-		if (state.metLaterThan(remote)) {
-			refuse(state, link);
+		if (state.hasIncarnationAfter(remote)) {
+			reject(state, link);
 			return;
 		}
-		if (state.meet(remote)) {
+		if (state.updateIncarnation(remote)) {
 			closeAll(state, List.copyOf(state.links()), now);
 		}
 		this.counters.opened();
 		TrackedLink tracked = new TrackedLink(link, now);
 		List<TrackedLink> earlier = List.copyOf(state.links());
 		state.add(tracked);
-		settle(state, tracked, earlier, now);
+		closeDuplicates(state, tracked, earlier, now);
 		state.drainPending().forEach((payload) -> send(state.vm(), payload));
 	}
 
 	/**
-	 * Notes that a link has ended, by whichever side.
+	 * Removes a link that either side has closed.
 	 * @param link the link
 	 */
 	void closed(PeerLink link) {
 		PeerState state = this.states.get(link.remote().incarnation().vm());
 		long now = this.clock.nanos();
 		if (state != null && state.remove(link, now)) {
-			state.dialNotBefore(now + this.times.shortestBackoff().toNanos());
+			state.dialNotBefore(now + this.timings.minBackoff().toNanos());
 		}
 	}
 
 	/**
-	 * Notes that a dial brought no link.
-	 * @param vm the VM dialled
+	 * Records a dial that failed to open a link.
+	 * @param vm the VM that was dialled
 	 */
 	void dialFailed(VmId vm) {
 		PeerState state = this.states.get(vm);
 		if (state != null) {
 			int failures = state.dialFailed();
-			state.dialNotBefore(this.clock.nanos() + this.backoff.pause(failures));
-			this.counters.lostPending(state.drainPending().size());
+			state.dialNotBefore(this.clock.nanos() + this.backoff.delayNanos(failures));
+			this.counters.pendingLost(state.drainPending().size());
 		}
 	}
 
 	/**
-	 * Notes that something arrived on a link.
+	 * Records that a frame was received on a link.
 	 * @param link the link
 	 * @param message whether it was a message rather than a heartbeat
-	 * @return false if the link belongs to an earlier incarnation or was replaced by one
-	 * of a later incarnation, so that the message must be dropped
+	 * @return false if the link doesn't belong to the current incarnation of its VM, so
+	 * that the message must be dropped
 	 */
-	boolean heard(PeerLink link, boolean message) {
+	boolean received(PeerLink link, boolean message) {
 		Incarnation remote = link.remote().incarnation();
 		PeerState state = this.states.get(remote.vm());
 		if (state == null || !remote.equals(state.incarnation())) {
@@ -187,13 +188,13 @@
 			return false;
 		}
 		long now = this.clock.nanos();
-		state.heard(link, message, now);
+		state.received(link, message, now);
 		return true;
 	}
 
 	/**
-	 * The state of each peer, for the state dump.
-	 * @return the peers by name
+	 * Returns the state of each peer, for the state dump.
+	 * @return the summaries, ordered by name of VM
 	 */
 	List<PeerSummary> summaries() {
 		long now = this.clock.nanos();
@@ -201,19 +202,19 @@
 	}
 
 	/**
-	 * Takes a pause of this process for what it is. After a pause every link looks
-	 * silent, since the frames that arrived meanwhile haven't been read yet; a daemon
-	 * that believed it would replace all its connections at once.
-	 * @param now the time
+	 * Restarts the silence timeout of all links after a pause of this process. After a
+	 * pause every link appears silent, since the frames that arrived meanwhile haven't
+	 * been read yet, and without the restart all connections would be replaced at once.
+	 * @param now the current time
 	 */
-	private void forgiveOwnPause(long now) {
-		if (now - this.lastTick > this.times.silence().toNanos() / 2) {
-			this.states.values().forEach((state) -> state.links().forEach((link) -> link.heard(now, false)));
+	private void resetAfterOwnPause(long now) {
+		if (now - this.lastTick > this.timings.silenceTimeout().toNanos() / 2) {
+			this.states.values().forEach((state) -> state.links().forEach((link) -> link.received(now, false)));
 		}
 		this.lastTick = now;
 	}
 
-	private void refuse(PeerState state, PeerLink link) {
+	private void reject(PeerState state, PeerLink link) {
 		this.counters.staleFrame();
 		link.close();
 		if (link.dialled()) {
@@ -221,17 +222,17 @@
 		}
 	}
 
-	private void settle(PeerState state, TrackedLink latest, List<TrackedLink> earlier, long now) {
+	private void closeDuplicates(PeerState state, TrackedLink latest, List<TrackedLink> earlier, long now) {
 		for (TrackedLink link : earlier) {
-			TrackedLink loser = this.rivalry.loser(link, latest, now);
-			closeAll(state, List.of(loser), now);
-			if (loser == latest) {
+			TrackedLink toClose = this.duplicateLinkResolver.linkToClose(link, latest, now);
+			closeAll(state, List.of(toClose), now);
+			if (toClose == latest) {
 				return;
 			}
 		}
 	}
 
-	private boolean smaller(VmId other) {
+	private boolean hasSmallerName(VmId other) {
 		return BY_NAME.compare(this.self, other) < 0;
 	}
 
@@ -240,9 +241,9 @@
 			return false;
 		}
 		PeerState state = this.states.computeIfAbsent(to, (key) -> new PeerState(key, now));
-		boolean room = state.pendingBytes() + payload.length <= this.mostPendingBytes;
-		boolean hopeful = state.failures() == 0 || state.mayDial(now);
-		if (!room || !hopeful) {
+		boolean fits = state.pendingBytes() + payload.length <= this.maxPendingBytes;
+		boolean dialAllowed = state.failures() == 0 || state.mayDial(now);
+		if (!fits || !dialAllowed) {
 			return false;
 		}
 		state.enqueue(payload, now);
@@ -255,7 +256,7 @@
 			return;
 		}
 		boolean replacing = !state.links().isEmpty();
-		if (replacing ? allSilent(state, now) : (state.hasPending() || (wanted && ourTurn(state, now)))) {
+		if (replacing ? allSilent(state, now) : (state.hasPending() || (wanted && mayInitiate(state, now)))) {
 			this.directory.address(state.vm()).ifPresent((address) -> {
 				state.dialStarted();
 				this.dialler.dial(state.vm(), address, replacing);
@@ -263,22 +264,22 @@
 		}
 	}
 
-	private boolean ourTurn(PeerState state, long now) {
-		return smaller(state.vm()) || now - state.withoutLinkSince() >= this.times.dialGrace().toNanos();
+	private boolean mayInitiate(PeerState state, long now) {
+		return hasSmallerName(state.vm()) || now - state.withoutLinkSince() >= this.timings.dialGrace().toNanos();
 	}
 
 	private boolean allSilent(PeerState state, long now) {
-		boolean allSilent = !state.heardSince(silentBefore(now));
+		boolean allSilent = !state.receivedSince(silentBefore(now));
 		if (allSilent) {
-			state.links().stream().filter(TrackedLink::reportSilent).forEach((link) -> this.counters.silent());
+			state.links().stream().filter(TrackedLink::reportSilenceOnce).forEach((link) -> this.counters.silent());
 		}
 		return allSilent;
 	}
 
-	private void closeUseless(PeerState state, boolean wanted, long now) {
-		long deadBefore = now - this.times.giveUp().toNanos();
-		long idleBefore = now - this.times.idle().toNanos();
-		closeAll(state, state.useless(deadBefore, idleBefore, wanted), now);
+	private void closeDeadAndIdle(PeerState state, boolean wanted, long now) {
+		long deadBefore = now - this.timings.closeTimeout().toNanos();
+		long idleBefore = now - this.timings.idleTimeout().toNanos();
+		closeAll(state, state.deadOrIdleLinks(deadBefore, idleBefore, wanted), now);
 	}
 
 	private void closeAll(PeerState state, List<TrackedLink> links, long now) {
@@ -289,22 +290,21 @@
 	}
 
 	private void expirePending(PeerState state, long now) {
-		if (state.hasPending() && now - state.pendingSince() > this.times.pending().toNanos()) {
-			this.counters.lostPending(state.drainPending().size());
+		if (state.hasPending() && now - state.pendingSince() > this.timings.pendingTimeout().toNanos()) {
+			this.counters.pendingLost(state.drainPending().size());
 		}
 	}
 
-	private void forgetIfUnused(PeerState state, boolean wanted, long now) {
+	private void removeIfUnused(PeerState state, boolean wanted, long now) {
 		boolean inUse = wanted || !state.links().isEmpty() || state.hasPending() || state.dialling();
-		boolean backoffMatters = state.failures() > 0
-				&& now - state.nextDialAt() < this.times.longestBackoff().toNanos();
+		boolean backoffMatters = state.failures() > 0 && now - state.nextDialAt() < this.timings.maxBackoff().toNanos();
 		if (!inUse && !backoffMatters) {
 			this.states.remove(state.vm());
 		}
 	}
 
 	private long silentBefore(long now) {
-		return now - this.times.silence().toNanos();
+		return now - this.timings.silenceTimeout().toNanos();
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerCounters.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerCounters.java
@@ -8,8 +8,8 @@
 import com.codahale.metrics.MetricRegistry;
 
 /**
- * What the peer slice counts. Safe for use by multiple threads, but for the counts of
- * messages by type.
+ * The metrics of connections, frames and messages between daemons. Safe for use by
+ * multiple threads, except for the counts of messages by type.
  */
 final class PeerCounters {
 
@@ -19,9 +19,9 @@
 
 	private final Counter silent;
 
-	private final Counter refusedSends;
+	private final Counter sendsRefused;
 
-	private final Counter lostPending;
+	private final Counter pendingLost;
 
 	private final Counter staleFrames;
 
@@ -37,8 +37,8 @@
 		this.metrics = metrics;
 		this.opened = metrics.counter("peer.connections.opened");
 		this.silent = metrics.counter("peer.connections.silent");
-		this.refusedSends = metrics.counter("peer.sends.refused");
-		this.lostPending = metrics.counter("peer.sends.lost-before-connection");
+		this.sendsRefused = metrics.counter("peer.sends.refused");
+		this.pendingLost = metrics.counter("peer.sends.lost-before-connection");
 		this.staleFrames = metrics.counter("peer.frames.stale-incarnation");
 		this.unknownMessages = metrics.counter("peer.frames.unknown-code");
 		this.bytesSent = metrics.counter("peer.bytes.sent");
@@ -53,12 +53,12 @@
 		this.silent.inc();
 	}
 
-	void refusedSend() {
-		this.refusedSends.inc();
+	void sendRefused() {
+		this.sendsRefused.inc();
 	}
 
-	void lostPending(int messages) {
-		this.lostPending.inc(messages);
+	void pendingLost(int messages) {
+		this.pendingLost.inc(messages);
 	}
 
 	void staleFrame() {
@@ -88,7 +88,7 @@
 		this.bytesReceived.inc(bytes);
 	}
 
-	void cutOff(PeerProtocolException.Kind kind) {
+	void protocolError(PeerProtocolException.Kind kind) {
 		this.metrics.counter("peer.cut-off." + kind.name().toLowerCase(Locale.ROOT).replace('_', '-')).inc();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerDialler.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerDialler.java
@@ -13,10 +13,10 @@
 interface PeerDialler {
 
 	/**
-	 * Starts to open a connection.
+	 * Starts opening a connection.
 	 * @param vm the VM expected at the address
 	 * @param address {@code host:port}
-	 * @param replacing whether an earlier connection went silent
+	 * @param replacing whether the connection replaces one that became silent
 	 */
 	void dial(VmId vm, String address, boolean replacing);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerDirectory.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerDirectory.java
@@ -6,7 +6,7 @@
 import org.bramleyscale.VmId;
 
 /**
- * Tells the network whom to connect to.
+ * Provides the peers to connect to and their addresses.
  *
  * <p>
  * Called on the scheduler's thread.
@@ -14,15 +14,15 @@
 public interface PeerDirectory {
 
 	/**
-	 * The VMs to keep a connection with.
+	 * Returns the VMs to keep a connection with.
 	 * @return the VMs; this daemon's own is ignored
 	 */
 	Set<VmId> wanted();
 
 	/**
-	 * Where a VM's daemon listens.
+	 * Returns the address on which a VM's daemon listens for peers.
 	 * @param vm the VM
-	 * @return {@code host:port}, or empty if it isn't known
+	 * @return {@code host:port}, or empty if it is unknown
 	 */
 	Optional<String> address(VmId vm);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerEnvironment.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerEnvironment.java
@@ -6,19 +6,19 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * What {@link PeerConnections} needs.
+ * The dependencies and limits of {@link PeerConnections}.
  *
  * @param self this daemon's VM
  * @param clock the clock
- * @param random for the jitter of dials
- * @param directory tells whom to dial
+ * @param random the source of jitter between dials
+ * @param directory the peers to connect to
  * @param dialler opens connections
- * @param times the times by which connections are judged
- * @param mostPendingBytes how many bytes may wait for a connection being opened
- * @param counters what is counted
- * @param ping the payload of a heartbeat
+ * @param timings the intervals and timeouts of connections
+ * @param maxPendingBytes the limit on bytes pending for a connection that is being opened
+ * @param counters the metrics
+ * @param heartbeat the encoded heartbeat
  */
 record PeerEnvironment(VmId self, Clock clock, RandomGenerator random, PeerDirectory directory, PeerDialler dialler,
-		PeerTimes times, long mostPendingBytes, PeerCounters counters, byte[] ping) {
+		PeerTimings timings, long maxPendingBytes, PeerCounters counters, byte[] heartbeat) {
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerIdentity.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerIdentity.java
@@ -4,16 +4,16 @@
 import org.bramleyscale.Incarnation;
 
 /**
- * Who a daemon is and where it can be reached.
+ * The identity, addresses and capacity of a daemon.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
  *
- * @param incarnation its VM and start
- * @param dataCentre where it runs
+ * @param incarnation the VM and start of the daemon
+ * @param dataCentre the data centre of its VM
  * @param peerAddress {@code host:port} on which it listens for peers
  * @param httpAddress {@code host:port} on which it listens for callers
- * @param capacity how large its VM is
+ * @param capacity the capacity of its VM
  */
 public record PeerIdentity(Incarnation incarnation, DataCentre dataCentre, String peerAddress, String httpAddress,
 		VmCapacity capacity) {
@@ -27,9 +27,9 @@
 	}
 
 	/**
-	 * Makes the identity of a daemon on a VM of unknown size.
-	 * @param incarnation its VM and start
-	 * @param dataCentre where it runs
+	 * Creates the identity of a daemon on a VM of unknown capacity.
+	 * @param incarnation the VM and start of the daemon
+	 * @param dataCentre the data centre of its VM
 	 * @param peerAddress {@code host:port} on which it listens for peers
 	 * @param httpAddress {@code host:port} on which it listens for callers
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerLink.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerLink.java
@@ -9,19 +9,20 @@
 interface PeerLink {
 
 	/**
-	 * Who is at the other end, as proven by the greeting.
-	 * @return its identity
+	 * Returns the identity of the daemon at the other end, as authenticated by the
+	 * handshake.
+	 * @return the identity
 	 */
 	PeerIdentity remote();
 
 	/**
-	 * Whether this daemon opened the connection.
+	 * Returns whether this daemon opened the connection.
 	 * @return true if this daemon dialled, false if it accepted
 	 */
 	boolean dialled();
 
 	/**
-	 * Whether the dialler opened it because an earlier connection went silent.
+	 * Returns whether the dialler opened it because an earlier connection became silent.
 	 * @return true if it replaces earlier ones
 	 */
 	boolean replacing();
@@ -34,10 +35,10 @@
 	boolean send(byte[] payload);
 
 	/**
-	 * What was queued and hasn't been taken by the operating system.
-	 * @return the bytes
+	 * Returns the number of bytes that are queued and not yet written to the socket.
+	 * @return the queued bytes
 	 */
-	long queued();
+	long queuedBytes();
 
 	/**
 	 * Closes the connection; calling again has no effect.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerListener.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerListener.java
@@ -3,7 +3,7 @@
 import org.bramleyscale.Incarnation;
 
 /**
- * Takes messages of one type from other daemons.
+ * Receives messages of one type from other daemons.
  *
  * @param <M> the type of message
  */
@@ -11,7 +11,7 @@
 public interface PeerListener<M extends PeerMessage> {
 
 	/**
-	 * Called on the scheduler's thread.
+	 * Handles a message; called on the scheduler's thread.
 	 * @param from the sender
 	 * @param message the message
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerListeners.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerListeners.java
@@ -23,7 +23,7 @@
 	}
 
 	/**
-	 * Hands a message to each listener of its type.
+	 * Passes a message to each listener of its type.
 	 * @param from the sender
 	 * @param message the message
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerLoops.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerLoops.java
@@ -9,26 +9,28 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 
 /**
- * The thread on which the sockets towards peers are read and written.
+ * The event loops that read and write the sockets to peers.
  *
  * <p>
- * On a thread of their own each message wakes two threads, one here and the scheduler's.
- * With 39 peers that was half of what an idle daemon spent, so a daemon whose scheduler
- * is itself an event loop shares it. Immutable and safe for use by multiple threads.
+ * With a dedicated thread each message wakes two threads, this one and the scheduler's.
+ * With 39 peers that took half of the CPU time of an idle daemon, so a daemon whose
+ * scheduler is itself an event loop shares it. Immutable and safe for use by multiple
+ * threads.
  *
  * @param group the event loops
- * @param channel the type of connections
- * @param serverChannel the type of the listening socket
- * @param shared whether others use the loops too, so that they outlive the network
+ * @param channelType the channel type of connections
+ * @param serverChannelType the channel type of the listening socket
+ * @param shared whether the loops have other users, so that the network must not shut
+ * them down
  */
-public record PeerLoops(EventLoopGroup group, Class<? extends Channel> channel,
-		Class<? extends ServerChannel> serverChannel, boolean shared) {
+public record PeerLoops(EventLoopGroup group, Class<? extends Channel> channelType,
+		Class<? extends ServerChannel> serverChannelType, boolean shared) {
 
 	/**
-	 * A thread for peers alone.
-	 * @return new loops, to be shut down by the network
+	 * Creates a dedicated thread for peers.
+	 * @return new event loops, which the network shuts down
 	 */
-	public static PeerLoops own() {
+	public static PeerLoops dedicated() {
 		return new PeerLoops(new NioEventLoopGroup(1, new DefaultThreadFactory("peer", true)), NioSocketChannel.class,
 				NioServerSocketChannel.class, false);
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerMapper.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerMapper.java
@@ -35,10 +35,10 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Makes the Jackson mapper of the peer protocol.
+ * Creates the Jackson mapper of the peer protocol.
  *
  * <p>
- * Records become arrays, ids become strings, durations become whole nanoseconds.
+ * Records are written as arrays, ids as strings and durations as integer nanoseconds.
  */
 final class PeerMapper {
 
@@ -85,7 +85,7 @@
 	}
 
 	/**
-	 * Gives each record the shape of an array.
+	 * Selects the array format for each record.
 	 */
 	private static final class RecordsAsArrays extends JacksonAnnotationIntrospector {
 
@@ -102,7 +102,7 @@
 	}
 
 	/**
-	 * Reads an id from its written form.
+	 * Parses an id from its string form.
 	 *
 	 * @param <T> the type of id
 	 */
@@ -125,7 +125,7 @@
 	}
 
 	/**
-	 * Writes an id as the key of a map.
+	 * Writes an id as a map key.
 	 */
 	private static final class IdKeySerializer extends JsonSerializer<Object> {
 
@@ -137,7 +137,7 @@
 	}
 
 	/**
-	 * Reads an id from the key of a map.
+	 * Parses an id from a map key.
 	 */
 	private static final class IdKeyDeserializer extends KeyDeserializer {
 
@@ -155,7 +155,7 @@
 	}
 
 	/**
-	 * Writes a duration as whole nanoseconds.
+	 * Writes a duration as integer nanoseconds.
 	 */
 	private static final class DurationSerializer extends StdScalarSerializer<Duration> {
 
@@ -173,7 +173,7 @@
 	}
 
 	/**
-	 * Reads a duration from whole nanoseconds.
+	 * Reads a duration from integer nanoseconds.
 	 */
 	private static final class DurationDeserializer extends StdScalarDeserializer<Duration> {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerMessage.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerMessage.java
@@ -5,8 +5,8 @@
  *
  * <p>
  * Implementations are records whose components Jackson writes in order as a MessagePack
- * array; each lives in the slice whose duty it serves and is entered in the message
- * catalog under a fixed code. Immutable.
+ * array. Each belongs to the component that uses it and is registered in the
+ * {@link MessageCatalog} under a fixed code. Immutable.
  */
 public interface PeerMessage {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerMessages.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerMessages.java
@@ -1,7 +1,8 @@
 package org.bramleyscale.internal.peer;
 
 /**
- * The codes 1 to 9 of the wire protocol: what connections say for themselves.
+ * Registers the messages of the connections themselves, codes 1 to 9 of the wire
+ * protocol.
  */
 public final class PeerMessages {
 
@@ -15,8 +16,8 @@
 	}
 
 	/**
-	 * Enters this slice's messages.
-	 * @param builder the catalog
+	 * Registers the messages of this package.
+	 * @param builder the builder of the catalog
 	 * @return the same builder
 	 */
 	public static MessageCatalog.Builder register(MessageCatalog.Builder builder) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerNetwork.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerNetwork.java
@@ -6,7 +6,7 @@
 import org.bramleyscale.VmId;
 
 /**
- * Delivery of messages to other daemons.
+ * Delivers messages to other daemons.
  *
  * <p>
  * Delivery is best effort: a message may be lost with its connection, arrives at most
@@ -17,16 +17,16 @@
 
 	/**
 	 * Sends a message.
-	 * @param to the VM whose daemon shall get it
+	 * @param to the VM of the recipient
 	 * @param message the message
-	 * @return false if it certainly won't arrive, because there is no connection or the
-	 * bound on queued bytes is reached
+	 * @return false if the message will certainly not arrive, because there is no
+	 * connection or the bound on queued bytes is reached
 	 */
 	boolean send(VmId to, PeerMessage message);
 
 	/**
 	 * Sends a message to several daemons.
-	 * @param to the VMs whose daemons shall get it
+	 * @param to the VMs of the recipients
 	 * @param message the message
 	 */
 	default void sendAll(Collection<VmId> to, PeerMessage message) {
@@ -34,26 +34,26 @@
 	}
 
 	/**
-	 * Whether what is sent to a daemon now would wait behind much that was sent before.
-	 * Who has newer news of the same kind later should wait with them: what is queued
-	 * can't be taken back, and everything else waits behind it.
-	 * @param to the VM whose daemon would get it
-	 * @return true while its connection doesn't keep up
+	 * Returns whether a message sent to a daemon now would queue behind a large backlog.
+	 * A sender whose update will be superseded by a later one should postpone it: a
+	 * queued message can't be withdrawn, and all later messages queue behind it.
+	 * @param to the VM of the recipient
+	 * @return true while the backlog of the connection is large
 	 */
 	default boolean congested(VmId to) {
 		return false;
 	}
 
 	/**
-	 * The daemons with a working connection.
+	 * Returns the VMs of the daemons with a working connection.
 	 * @return the VMs
 	 */
 	Set<VmId> connected();
 
 	/**
 	 * Adds a listener for one type of message.
-	 * @param <M> the type
-	 * @param type the type
+	 * @param <M> the type of message
+	 * @param type the type of message
 	 * @param listener called for each message of the type
 	 */
 	<M extends PeerMessage> void listen(Class<M> type, PeerListener<M> listener);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerProtocolException.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerProtocolException.java
@@ -6,7 +6,7 @@
 import org.bramleyscale.Step;
 
 /**
- * Bytes from another daemon that the peer protocol doesn't allow.
+ * Thrown when bytes from another daemon violate the peer protocol.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
@@ -27,14 +27,14 @@
 	}
 
 	/**
-	 * What is wrong with the bytes.
+	 * The kind of violation.
 	 */
 	public enum Kind {
 
-		/** They are not a frame of this protocol. */
+		/** The bytes are not a frame of this protocol. */
 		MALFORMED,
 
-		/** They belong to another version of the protocol. */
+		/** The bytes belong to another version of the protocol. */
 		WRONG_VERSION,
 
 		/** The sender doesn't hold the shared key. */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerState.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerState.java
@@ -11,7 +11,7 @@
 import org.bramleyscale.VmId;
 
 /**
- * What {@link PeerConnections} knows of one VM.
+ * The links, pending messages and dial state of one VM.
  *
  * <p>
  * Confined to the scheduler's thread. Times are monotonic nanoseconds.
@@ -52,16 +52,16 @@
 		return this.incarnation;
 	}
 
-	boolean metLaterThan(Incarnation other) {
+	boolean hasIncarnationAfter(Incarnation other) {
 		return this.incarnation != null && other.start() < this.incarnation.start();
 	}
 
 	/**
-	 * Notes the incarnation at the other end of a new link.
+	 * Sets the incarnation at the other end of a new link.
 	 * @param newest the incarnation
 	 * @return whether it replaces an earlier one
 	 */
-	boolean meet(Incarnation newest) {
+	boolean updateIncarnation(Incarnation newest) {
 		boolean replaces = this.incarnation != null && !this.incarnation.equals(newest);
 		this.incarnation = newest;
 		return replaces;
@@ -72,59 +72,59 @@
 	}
 
 	/**
-	 * The link to send on: the newest that isn't silent, else the newest.
-	 * @param silentBefore links heard last before this are silent
+	 * Returns the link to send on: the newest that isn't silent, else the newest.
+	 * @param silentBefore links that last received a frame before this are silent
 	 * @return the link, or empty if there is none
 	 */
-	Optional<TrackedLink> best(long silentBefore) {
-		TrackedLink best = null;
+	Optional<TrackedLink> preferredLink(long silentBefore) {
+		TrackedLink preferred = null;
 		for (TrackedLink link : this.links) {
-			if (best == null || !link.silent(silentBefore) || best.silent(silentBefore)) {
-				best = link;
+			if (preferred == null || !link.silent(silentBefore) || preferred.silent(silentBefore)) {
+				preferred = link;
 			}
 		}
-		return Optional.ofNullable(best);
+		return Optional.ofNullable(preferred);
 	}
 
 	/**
-	 * Whether a link was heard lately.
-	 * @param silentBefore links heard last before this are silent
+	 * Returns whether any link has received a frame since a time.
+	 * @param silentBefore links that last received a frame before this are silent
 	 * @return false if there is no link or all are silent
 	 */
-	boolean heardSince(long silentBefore) {
+	boolean receivedSince(long silentBefore) {
 		return this.links.stream().anyMatch((link) -> !link.silent(silentBefore));
 	}
 
-	void heard(PeerLink link, boolean message, long now) {
+	void received(PeerLink link, boolean message, long now) {
 		for (TrackedLink tracked : this.links) {
 			if (tracked.link() == link) {
-				tracked.heard(now, message);
+				tracked.received(now, message);
 			}
 		}
 	}
 
 	/**
-	 * The links to close.
-	 * @param deadBefore links heard last before this are given up
-	 * @param idleBefore links used last before this are idle
+	 * Returns the links to close.
+	 * @param deadBefore links that last received a frame before this are dead
+	 * @param idleBefore links that last carried a message before this are idle
 	 * @param wanted whether idle links are kept
-	 * @return the links
+	 * @return the links to close
 	 */
-	List<TrackedLink> useless(long deadBefore, long idleBefore, boolean wanted) {
+	List<TrackedLink> deadOrIdleLinks(long deadBefore, long idleBefore, boolean wanted) {
 		return this.links.stream()
 			.filter((link) -> link.silent(deadBefore) || (!wanted && link.idle(idleBefore)))
 			.toList();
 	}
 
 	/**
-	 * Sends a heartbeat on each link on which nothing was sent for a while.
-	 * @param payload the heartbeat
-	 * @param nanos the while
-	 * @param now the time
+	 * Sends a heartbeat on each link on which nothing was sent for an interval.
+	 * @param payload the encoded heartbeat
+	 * @param intervalNanos the interval
+	 * @param now the current time
 	 */
-	void ping(byte[] payload, long nanos, long now) {
+	void sendHeartbeats(byte[] payload, long intervalNanos, long now) {
 		for (TrackedLink link : this.links) {
-			link.pingIfQuiet(payload, nanos, now);
+			link.sendHeartbeatIfDue(payload, intervalNanos, now);
 		}
 	}
 
@@ -137,8 +137,8 @@
 	/**
 	 * Removes a link.
 	 * @param link the link
-	 * @param now the time
-	 * @return whether it was there
+	 * @param now the current time
+	 * @return whether the link was present
 	 */
 	boolean remove(PeerLink link, long now) {
 		boolean removed = this.links.removeIf((tracked) -> tracked.link() == link);
@@ -161,8 +161,8 @@
 	}
 
 	/**
-	 * Notes a failed dial.
-	 * @return how many dials in a row have failed
+	 * Records a failed dial.
+	 * @return the number of consecutive failed dials
 	 */
 	int dialFailed() {
 		this.dialling = false;
@@ -206,7 +206,7 @@
 	}
 
 	/**
-	 * Takes all waiting messages.
+	 * Removes and returns all pending messages.
 	 * @return the payloads in the order of sending
 	 */
 	List<byte[]> drainPending() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TcpPeerNetwork.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TcpPeerNetwork.java
@@ -31,36 +31,37 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Messages between daemons over TCP.
+ * Exchanges messages between daemons over TCP.
  *
  * <p>
- * A frame is a four-byte length and a MessagePack array. Sockets and encoding of frames
- * stay on Netty's threads, decisions and deliveries on the scheduler's thread. Methods of
- * {@link PeerNetwork} are confined to the scheduler's thread; {@link #start} and
- * {@link #close} may be called from any other.
+ * A frame is a four-byte length and a MessagePack array. Sockets are handled and received
+ * frames decoded on Netty's threads; connections are managed, messages encoded and
+ * listeners called on the scheduler's thread. Methods of {@link PeerNetwork} are confined
+ * to the scheduler's thread; {@link #start} and {@link #close} may be called from any
+ * other.
  */
 public final class TcpPeerNetwork implements PeerNetwork, StateDump, AutoCloseable {
 
-	private static final Duration TICK = Duration.ofMillis(250);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
 
 	private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
 
-	private static final int CLOSE_SECONDS = 5;
+	private static final int SHUTDOWN_TIMEOUT_SECONDS = 5;
 
-	/** What a link of 14 Mbit/s sends in 10 ms. */
-	private static final int CONGESTED_BYTES = 16 * 1024;
+	/** The amount that a link of 14 Mbit/s sends in 10 ms. */
+	private static final int CONGESTION_THRESHOLD_BYTES = 16 * 1024;
 
 	/**
-	 * What the kernel may hold of a connection. A relay has some forty; more than this in
-	 * each would be a second of a link of 14 Mbit/s that nobody sees and nothing
-	 * overtakes. It is still what a connection of 10 Mbit/s needs at 25 ms there and
-	 * back.
+	 * The size of each socket's send buffer in the kernel. A relay has some forty
+	 * connections; larger buffers would together hold a second of traffic of a link of 14
+	 * Mbit/s, which isn't counted as queued and which later messages can't overtake. It
+	 * suffices for a connection of 10 Mbit/s with a round-trip time of 25 ms.
 	 */
-	private static final int KERNEL_BYTES = 32 * 1024;
+	private static final int SOCKET_SEND_BUFFER_BYTES = 32 * 1024;
 
-	private static final int DUMPED_PEERS = 100;
+	private static final int MAX_DUMPED_PEERS = 100;
 
-	private static final int MOST_GREETINGS = 256;
+	private static final int MAX_HANDSHAKES = 256;
 
 	private final TcpPeerSettings settings;
 
@@ -74,45 +75,45 @@
 
 	private final PeerListeners listeners = new PeerListeners();
 
-	private final SecureRandom nonces = new SecureRandom();
+	private final SecureRandom nonceGenerator = new SecureRandom();
 
-	private final PeerLoops loops;
+	private final PeerLoops eventLoops;
 
-	private final AtomicInteger greetings = new AtomicInteger();
+	private final AtomicInteger handshakes = new AtomicInteger();
 
 	private PeerConnections connections;
 
 	private Channel server;
 
-	private Cancellable ticks = () -> {
+	private Cancellable tickTimer = () -> {
 	};
 
 	/**
-	 * Makes a network with a thread of its own that isn't started.
+	 * Creates a network with a dedicated thread, without starting it.
 	 * @param settings the settings
 	 * @param scheduler the daemon's scheduler
 	 * @param codec a codec whose catalog has the messages of {@link PeerMessages}
-	 * @param random for the jitter of dials
-	 * @param metrics where connections and frames are counted
+	 * @param random the source of jitter between dials
+	 * @param metrics the registry for counts of connections and frames
 	 */
 	public TcpPeerNetwork(TcpPeerSettings settings, Scheduler scheduler, MessageCodec codec, RandomGenerator random,
 			MetricRegistry metrics) {
-		this(settings, PeerLoops.own(), scheduler, codec, random, metrics);
+		this(settings, PeerLoops.dedicated(), scheduler, codec, random, metrics);
 	}
 
 	/**
-	 * Makes a network that isn't started.
+	 * Creates a network without starting it.
 	 * @param settings the settings
-	 * @param loops the thread for its sockets
+	 * @param eventLoops the event loops of its sockets
 	 * @param scheduler the daemon's scheduler
 	 * @param codec a codec whose catalog has the messages of {@link PeerMessages}
-	 * @param random for the jitter of dials
-	 * @param metrics where connections and frames are counted
+	 * @param random the source of jitter between dials
+	 * @param metrics the registry for counts of connections and frames
 	 */
-	public TcpPeerNetwork(TcpPeerSettings settings, PeerLoops loops, Scheduler scheduler, MessageCodec codec,
+	public TcpPeerNetwork(TcpPeerSettings settings, PeerLoops eventLoops, Scheduler scheduler, MessageCodec codec,
 			RandomGenerator random, MetricRegistry metrics) {
 		this.settings = settings;
-		this.loops = loops;
+		this.eventLoops = eventLoops;
 		this.scheduler = scheduler;
 		this.codec = codec;
 		this.random = random;
@@ -120,18 +121,18 @@
 	}
 
 	/**
-	 * Starts to listen and to dial; blocks until the address is bound, so it must not be
-	 * called on the thread of its sockets.
-	 * @param directory tells whom to dial
-	 * @return the port bound
+	 * Starts to listen and to dial. Blocks until the address is bound, so it must not be
+	 * called on an event loop of its sockets.
+	 * @param directory the peers to connect to
+	 * @return the bound port
 	 * @throws ServingException if the address can't be bound
 	 */
 	public int start(PeerDirectory directory) throws ServingException {
 		this.connections = new PeerConnections(new PeerEnvironment(this.settings.identity().incarnation().vm(),
-				this.scheduler, this.random, directory, this::dial, this.settings.times(),
+				this.scheduler, this.random, directory, this::dial, this.settings.timings(),
 				this.settings.mostQueuedBytes(), this.counters, this.codec.encode(new Ping())));
 		this.server = bind();
-		this.ticks = this.scheduler.repeat(TICK, this.connections::tick);
+		this.tickTimer = this.scheduler.repeat(TICK_INTERVAL, this.connections::tick);
 		return ((InetSocketAddress) this.server.localAddress()).getPort();
 	}
 
@@ -141,7 +142,7 @@
 	}
 
 	/**
-	 * {@inheritDoc} The message is encoded once.
+	 * {@inheritDoc} The message is encoded only once.
 	 */
 	@Override
 	public void sendAll(Collection<VmId> to, PeerMessage message) {
@@ -154,7 +155,7 @@
 
 	private boolean send(VmId to, byte[] payload) {
 		if (payload.length > this.settings.largestFrame()) {
-			this.counters.refusedSend();
+			this.counters.sendRefused();
 			return false;
 		}
 		return this.connections.send(to, payload);
@@ -162,7 +163,7 @@
 
 	@Override
 	public boolean congested(VmId to) {
-		return this.connections != null && this.connections.queued(to) >= CONGESTED_BYTES;
+		return this.connections != null && this.connections.queuedBytes(to) >= CONGESTION_THRESHOLD_BYTES;
 	}
 
 	@Override
@@ -182,17 +183,19 @@
 
 	@Override
 	public Object dump() {
-		return this.connections.summaries().stream().limit(DUMPED_PEERS).toList();
+		return this.connections.summaries().stream().limit(MAX_DUMPED_PEERS).toList();
 	}
 
 	@Override
 	public void close() {
-		this.ticks.cancel();
+		this.tickTimer.cancel();
 		if (this.server != null) {
 			this.server.close();
 		}
-		if (!this.loops.shared()) {
-			this.loops.group().shutdownGracefully(0, CLOSE_SECONDS, TimeUnit.SECONDS).awaitUninterruptibly();
+		if (!this.eventLoops.shared()) {
+			this.eventLoops.group()
+				.shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+				.awaitUninterruptibly();
 		}
 	}
 
@@ -213,27 +216,28 @@
 	}
 
 	/**
-	 * Counts a connection whose greeting begins.
-	 * @return false if so many greetings are under way that this one must be refused
+	 * Counts a connection whose handshake begins.
+	 * @return false if too many handshakes are in progress, so that the connection must
+	 * be closed
 	 */
-	boolean greetingBegins() {
-		return this.greetings.incrementAndGet() <= MOST_GREETINGS;
+	boolean tryBeginHandshake() {
+		return this.handshakes.incrementAndGet() <= MAX_HANDSHAKES;
 	}
 
-	void greetingEnds() {
-		this.greetings.decrementAndGet();
+	void endHandshake() {
+		this.handshakes.decrementAndGet();
 	}
 
 	void opened(PeerLink link) {
 		this.scheduler.execute(() -> this.connections.opened(link));
 	}
 
-	void ended(PeerLink link, Greeting greeting) {
+	void closed(PeerLink link, Handshake handshake) {
 		if (link != null) {
 			this.scheduler.execute(() -> this.connections.closed(link));
 		}
-		else if (greeting.dialled()) {
-			this.scheduler.execute(() -> this.connections.dialFailed(greeting.target()));
+		else if (handshake.dialled()) {
+			this.scheduler.execute(() -> this.connections.dialFailed(handshake.target()));
 		}
 	}
 
@@ -242,18 +246,18 @@
 			delivered.run();
 			boolean heartbeat = message instanceof Ping;
 			this.counters.received(message);
-			if (this.connections.heard(link, !heartbeat) && !heartbeat) {
+			if (this.connections.received(link, !heartbeat) && !heartbeat) {
 				this.listeners.deliver(link.remote().incarnation(), message);
 			}
 		});
 	}
 
 	private Channel bind() throws ServingException {
-		ChannelFuture bound = new ServerBootstrap().group(this.loops.group())
-			.channel(this.loops.serverChannel())
+		ChannelFuture bound = new ServerBootstrap().group(this.eventLoops.group())
+			.channel(this.eventLoops.serverChannelType())
 			.option(ChannelOption.SO_REUSEADDR, true)
 			.childOption(ChannelOption.TCP_NODELAY, true)
-			.childOption(ChannelOption.SO_SNDBUF, KERNEL_BYTES)
+			.childOption(ChannelOption.SO_SNDBUF, SOCKET_SEND_BUFFER_BYTES)
 			.childHandler(initializer(null, false))
 			.bind(this.settings.listen())
 			.awaitUninterruptibly();
@@ -274,11 +278,11 @@
 			this.scheduler.execute(() -> this.connections.dialFailed(vm));
 			return;
 		}
-		new Bootstrap().group(this.loops.group())
-			.channel(this.loops.channel())
+		new Bootstrap().group(this.eventLoops.group())
+			.channel(this.eventLoops.channelType())
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
 			.option(ChannelOption.TCP_NODELAY, true)
-			.option(ChannelOption.SO_SNDBUF, KERNEL_BYTES)
+			.option(ChannelOption.SO_SNDBUF, SOCKET_SEND_BUFFER_BYTES)
 			.handler(initializer(vm, replacing))
 			.connect(target)
 			.addListener((done) -> {
@@ -288,26 +292,26 @@
 			});
 	}
 
-	private ChannelInitializer<SocketChannel> initializer(VmId dialled, boolean replacing) {
+	private ChannelInitializer<SocketChannel> initializer(VmId target, boolean replacing) {
 		return new ChannelInitializer<>() {
 
 			@Override
 			protected void initChannel(SocketChannel channel) {
 				Hello hello = new Hello(nonce(), TcpPeerNetwork.this.settings.identity(), replacing);
-				Greeting greeting = new Greeting(TcpPeerNetwork.this.settings.key(), TcpPeerNetwork.this.codec, hello,
-						dialled);
+				Handshake handshake = new Handshake(TcpPeerNetwork.this.settings.key(), TcpPeerNetwork.this.codec,
+						hello, target);
 				channel.pipeline()
-					.addLast(PeerChannel.DECODER, PeerChannel.decoder(Greeting.LARGEST_FRAME))
+					.addLast(PeerChannel.DECODER, PeerChannel.decoder(Handshake.MAX_FRAME_BYTES))
 					.addLast(new LengthFieldPrepender(PeerChannel.LENGTH_BYTES))
-					.addLast(new PeerChannel(TcpPeerNetwork.this, greeting, hello));
+					.addLast(new PeerChannel(TcpPeerNetwork.this, handshake, hello));
 			}
 
 		};
 	}
 
 	private byte[] nonce() {
-		byte[] nonce = new byte[Greeting.NONCE_BYTES];
-		this.nonces.nextBytes(nonce);
+		byte[] nonce = new byte[Handshake.NONCE_BYTES];
+		this.nonceGenerator.nextBytes(nonce);
 		return nonce;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TcpPeerSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TcpPeerSettings.java
@@ -16,12 +16,12 @@
  */
 public final class TcpPeerSettings {
 
-	/** The largest frame unless set otherwise; the platform's objects fit in it. */
-	public static final int DEFAULT_LARGEST_FRAME = 8 * 1024 * 1024;
+	/** The default limit on a frame's payload; the platform's objects fit in it. */
+	public static final int DEFAULT_MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
 	private static final int DEFAULT_QUEUED_FRAMES = 2;
 
-	private static final int SHORTEST_KEY = 16;
+	private static final int MIN_KEY_BYTES = 16;
 
 	private final PeerIdentity identity;
 
@@ -33,7 +33,7 @@
 
 	private final long mostQueuedBytes;
 
-	private final PeerTimes times;
+	private final PeerTimings timings;
 
 	private TcpPeerSettings(Builder builder) {
 		this.identity = builder.identity;
@@ -41,7 +41,7 @@
 		this.key = builder.key;
 		this.largestFrame = builder.largestFrame;
 		this.mostQueuedBytes = builder.mostQueuedBytes;
-		this.times = builder.times;
+		this.timings = builder.timings;
 	}
 
 	public static Builder builder() {
@@ -68,8 +68,8 @@
 		return this.mostQueuedBytes;
 	}
 
-	public PeerTimes times() {
-		return this.times;
+	public PeerTimings timings() {
+		return this.timings;
 	}
 
 	/**
@@ -83,11 +83,11 @@
 
 		private byte[] key;
 
-		private int largestFrame = DEFAULT_LARGEST_FRAME;
+		private int largestFrame = DEFAULT_MAX_FRAME_BYTES;
 
-		private long mostQueuedBytes = (long) DEFAULT_QUEUED_FRAMES * DEFAULT_LARGEST_FRAME;
+		private long mostQueuedBytes = (long) DEFAULT_QUEUED_FRAMES * DEFAULT_MAX_FRAME_BYTES;
 
-		private PeerTimes times = PeerTimes.DEFAULT;
+		private PeerTimings timings = PeerTimings.DEFAULT;
 
 		private Builder() {
 		}
@@ -98,7 +98,7 @@
 		}
 
 		/**
-		 * Sets the address to bind; port 0 takes any free port.
+		 * Sets the address to bind; port 0 selects any free port.
 		 * @param listen the address
 		 * @return this builder
 		 */
@@ -108,7 +108,7 @@
 		}
 
 		/**
-		 * Sets the key that all daemons share.
+		 * Sets the key shared by all daemons.
 		 * @param key at least 16 bytes
 		 * @return this builder
 		 */
@@ -127,8 +127,8 @@
 			return this;
 		}
 
-		public Builder times(PeerTimes times) {
-			this.times = times;
+		public Builder timings(PeerTimings timings) {
+			this.timings = timings;
 			return this;
 		}
 
@@ -136,12 +136,12 @@
 			if (this.identity == null || this.listen == null || this.key == null) {
 				throw new IllegalArgumentException("identity, listen address and key must be set");
 			}
-			if (this.key.length < SHORTEST_KEY) {
+			if (this.key.length < MIN_KEY_BYTES) {
 				throw new IllegalArgumentException(
-						"shared key must have at least " + SHORTEST_KEY + " bytes, has " + this.key.length);
+						"shared key must have at least " + MIN_KEY_BYTES + " bytes, has " + this.key.length);
 			}
-			if (this.largestFrame < Greeting.LARGEST_FRAME) {
-				throw new IllegalArgumentException("largest frame must be at least " + Greeting.LARGEST_FRAME
+			if (this.largestFrame < Handshake.MAX_FRAME_BYTES) {
+				throw new IllegalArgumentException("largest frame must be at least " + Handshake.MAX_FRAME_BYTES
 						+ " bytes, was " + this.largestFrame);
 			}
 			if (this.mostQueuedBytes < this.largestFrame) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TrackedLink.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TrackedLink.java
@@ -1,7 +1,7 @@
 package org.bramleyscale.internal.peer;
 
 /**
- * One link with the times of its last use.
+ * A link with the times at which it was last used.
  *
  * <p>
  * Confined to the scheduler's thread. Times are monotonic nanoseconds.
@@ -12,20 +12,20 @@
 
 	private final long openedAt;
 
-	private long heardAt;
+	private long receivedAt;
 
 	private long sentAt;
 
-	private long usedAt;
+	private long messageAt;
 
-	private boolean reportedSilent;
+	private boolean silenceReported;
 
 	TrackedLink(PeerLink link, long now) {
 		this.link = link;
 		this.openedAt = now;
-		this.heardAt = now;
+		this.receivedAt = now;
 		this.sentAt = now;
-		this.usedAt = now;
+		this.messageAt = now;
 	}
 
 	PeerLink link() {
@@ -37,55 +37,56 @@
 	}
 
 	boolean silent(long silentBefore) {
-		return this.heardAt - silentBefore < 0;
+		return this.receivedAt - silentBefore < 0;
 	}
 
 	/**
-	 * Whether this is the first time that the link is reported as silent.
-	 * @return true once
+	 * Marks the link as reported silent.
+	 * @return true only for the first call since the link last received a frame
 	 */
-	boolean reportSilent() {
-		boolean first = !this.reportedSilent;
-		this.reportedSilent = true;
+	boolean reportSilenceOnce() {
+		boolean first = !this.silenceReported;
+		this.silenceReported = true;
 		return first;
 	}
 
-	void heard(long now, boolean message) {
-		this.heardAt = now;
-		this.reportedSilent = false;
+	void received(long now, boolean message) {
+		this.receivedAt = now;
+		this.silenceReported = false;
 		if (message) {
-			this.usedAt = now;
+			this.messageAt = now;
 		}
 	}
 
 	boolean send(byte[] payload, long now) {
-		this.usedAt = now;
+		this.messageAt = now;
 		this.sentAt = now;
 		return this.link.send(payload);
 	}
 
-	long queued() {
-		return this.link.queued();
+	long queuedBytes() {
+		return this.link.queuedBytes();
 	}
 
-	void pingIfQuiet(byte[] payload, long nanos, long now) {
-		if (now - this.sentAt >= nanos) {
+	void sendHeartbeatIfDue(byte[] payload, long intervalNanos, long now) {
+		if (now - this.sentAt >= intervalNanos) {
 			this.sentAt = now;
 			this.link.send(payload);
 		}
 	}
 
 	/**
-	 * Whether this side opened the link and nothing has used it for long.
-	 * @param idleBefore links used last before this are idle
+	 * Returns whether this side opened the link and it has carried no message for a
+	 * while.
+	 * @param idleBefore links that last carried a message before this are idle
 	 * @return true if this side should close it unless it is wanted
 	 */
 	boolean idle(long idleBefore) {
-		return this.link.dialled() && this.usedAt - idleBefore < 0;
+		return this.link.dialled() && this.messageAt - idleBefore < 0;
 	}
 
-	long heardAt() {
-		return this.heardAt;
+	long receivedAt() {
+		return this.receivedAt;
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/VmCapacity.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/VmCapacity.java
@@ -1,27 +1,27 @@
 package org.bramleyscale.internal.peer;
 
 /**
- * How much work a VM can do, as its settings say.
+ * The capacity of a VM, as given in its settings.
  *
  * <p>
- * VMs of one fleet may be of unlike sizes, and whoever relays news or takes callers'
+ * VMs of one fleet may differ in size, and daemons that relay updates or accept callers'
  * requests should run on the large ones: on a VM with 0.36 of a core and a link of 14
- * Mbit/s a relay's queues held news up for seconds. Immutable and safe for use by
+ * Mbit/s, the queues of a relay delayed updates by seconds. Immutable and safe for use by
  * multiple threads. <pre>
  * boolean relayHere = mine.sizeClass() &gt; theirs.sizeClass();
  * </pre>
  *
- * @param millicores thousandths of a core, 0 if not known
- * @param linkMbps the VM's link in Mbit/s, 0 if not known
+ * @param millicores the CPU capacity in thousandths of a core, 0 if unknown
+ * @param linkMbps the bandwidth of the VM's link in Mbit/s, 0 if unknown
  */
 public record VmCapacity(int millicores, int linkMbps) {
 
-	/** A VM whose settings say nothing of its size. */
+	/** The capacity of a VM whose settings don't specify it. */
 	public static final VmCapacity UNKNOWN = new VmCapacity(0, 0);
 
 	/**
-	 * What a relay needs of a core for each Mbit/s that it sends: with 30 daemons to tell
-	 * it sends some 4 Mbit/s and takes a tenth of a core for it.
+	 * The CPU capacity that a relay needs for each Mbit/s that it sends: with 30
+	 * recipients it sends some 4 Mbit/s and uses a tenth of a core for it.
 	 */
 	private static final int MILLICORES_PER_MBPS = 25;
 
@@ -33,18 +33,18 @@
 	}
 
 	/**
-	 * The class of size of this VM. Each is twice as large as the one before, so that
-	 * duties don't move for differences that nobody would notice.
-	 * @return a number, the greater the larger; 0 if the size isn't known
+	 * Returns the size class of this VM. Each class is twice as large as the one before,
+	 * so that small differences in capacity don't move roles between VMs.
+	 * @return the class, greater for larger VMs; 0 if the size is unknown
 	 */
 	public int sizeClass() {
-		int usable = Math.min(this.millicores, MILLICORES_PER_MBPS * this.linkMbps);
-		return Integer.SIZE - Integer.numberOfLeadingZeros(usable);
+		int usableMillicores = Math.min(this.millicores, MILLICORES_PER_MBPS * this.linkMbps);
+		return Integer.SIZE - Integer.numberOfLeadingZeros(usableMillicores);
 	}
 
 	/**
-	 * Whether the settings said how large the VM is.
-	 * @return false for {@link #UNKNOWN} and what is like it
+	 * Returns whether the size of the VM is known.
+	 * @return false if the size class is 0, as for {@link #UNKNOWN}
 	 */
 	public boolean known() {
 		return sizeClass() > 0;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Messages between daemons over TCP.
+ * Message exchange between daemons over TCP.
  */
 package org.bramleyscale.internal.peer;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/peer/FakeWire.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/peer/FakeLinks.java
@@ -16,9 +16,9 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * Connections between several {@link PeerConnections} on one manual clock.
+ * Simulated links between several {@link PeerConnections} on one manual clock.
  */
-final class FakeWire {
+final class FakeLinks {
 
 	static final byte[] PING = { 0 };
 
@@ -28,9 +28,9 @@
 
 	private final Map<VmId, Node> nodes = new HashMap<>();
 
-	private final List<End> ends = new ArrayList<>();
+	private final List<FakeLink> links = new ArrayList<>();
 
-	FakeWire(ManualScheduler scheduler) {
+	FakeLinks(ManualScheduler scheduler) {
 		this.scheduler = scheduler;
 	}
 
@@ -41,13 +41,13 @@
 	}
 
 	/**
-	 * Loses from now on what is sent on the present connections in one direction.
+	 * Drops all further payloads sent in one direction on the current connections.
 	 */
-	void silence(String from, String to) {
-		this.ends.stream()
-			.filter((end) -> end.owner.self.vm().value().equals(from))
-			.filter((end) -> end.remote().incarnation().vm().value().equals(to))
-			.forEach((end) -> end.silent = true);
+	void dropSends(String from, String to) {
+		this.links.stream()
+			.filter((link) -> link.owner.self.vm().value().equals(from))
+			.filter((link) -> link.remote().incarnation().vm().value().equals(to))
+			.forEach((link) -> link.dropsSends = true);
 	}
 
 	void tickAll() {
@@ -55,7 +55,7 @@
 	}
 
 	/**
-	 * One daemon's side.
+	 * The connections of one daemon.
 	 */
 	final class Node {
 
@@ -76,12 +76,12 @@
 		private Node(Incarnation self, PeerDirectory directory) {
 			this.self = self;
 			this.connections = new PeerConnections(
-					new PeerEnvironment(self.vm(), FakeWire.this.scheduler, new Random(1), directory, this::dial,
-							PeerTimes.DEFAULT, 100, new PeerCounters(this.metrics), PING));
+					new PeerEnvironment(self.vm(), FakeLinks.this.scheduler, new Random(1), directory, this::dial,
+							PeerTimings.DEFAULT, 100, new PeerCounters(this.metrics), PING));
 		}
 
-		List<End> open() {
-			return FakeWire.this.ends.stream().filter((end) -> end.owner == this && !end.closed).toList();
+		List<FakeLink> openLinks() {
+			return FakeLinks.this.links.stream().filter((link) -> link.owner == this && !link.closed).toList();
 		}
 
 		long count(String name) {
@@ -90,9 +90,9 @@
 
 		private void dial(VmId vm, String address, boolean replacing) {
 			this.dials.add(vm + (replacing ? " replacing" : ""));
-			Node other = FakeWire.this.nodes.get(vm);
+			Node other = FakeLinks.this.nodes.get(vm);
 			boolean fails = other == null || this.unreachable.contains(vm.value());
-			FakeWire.this.scheduler.schedule(LATENCY, () -> {
+			FakeLinks.this.scheduler.schedule(LATENCY, () -> {
 				if (fails) {
 					this.connections.dialFailed(vm);
 				}
@@ -103,25 +103,25 @@
 		}
 
 		void connect(Node other, boolean replacing) {
-			End near = new End(this, other, true, replacing);
-			End far = new End(other, this, false, replacing);
-			near.far = far;
-			far.far = near;
-			FakeWire.this.ends.add(near);
-			FakeWire.this.ends.add(far);
-			FakeWire.this.scheduler.schedule(LATENCY, () -> other.connections.opened(far));
-			this.connections.opened(near);
+			FakeLink dialled = new FakeLink(this, other, true, replacing);
+			FakeLink accepted = new FakeLink(other, this, false, replacing);
+			dialled.opposite = accepted;
+			accepted.opposite = dialled;
+			FakeLinks.this.links.add(dialled);
+			FakeLinks.this.links.add(accepted);
+			FakeLinks.this.scheduler.schedule(LATENCY, () -> other.connections.opened(accepted));
+			this.connections.opened(dialled);
 		}
 
 	}
 
 	/**
-	 * One end of a connection.
+	 * One end of a simulated connection.
 	 */
-	final class End implements PeerLink {
+	final class FakeLink implements PeerLink {
 
 		@Override
-		public long queued() {
+		public long queuedBytes() {
 			return 0;
 		}
 
@@ -133,13 +133,13 @@
 
 		private final boolean replacing;
 
-		private End far;
+		private FakeLink opposite;
 
-		private boolean silent;
+		private boolean dropsSends;
 
 		private boolean closed;
 
-		private End(Node owner, Node other, boolean dialled, boolean replacing) {
+		private FakeLink(Node owner, Node other, boolean dialled, boolean replacing) {
 			this.owner = owner;
 			this.other = other;
 			this.dialled = dialled;
@@ -163,8 +163,8 @@
 
 		@Override
 		public boolean send(byte[] payload) {
-			if (!this.closed && !this.silent) {
-				FakeWire.this.scheduler.schedule(LATENCY, () -> this.far.arrive(payload));
+			if (!this.closed && !this.dropsSends) {
+				FakeLinks.this.scheduler.schedule(LATENCY, () -> this.opposite.deliver(payload));
 			}
 			return !this.closed;
 		}
@@ -173,24 +173,24 @@
 		public void close() {
 			if (!this.closed) {
 				this.closed = true;
-				FakeWire.this.scheduler.schedule(LATENCY, this.far::closedByOther);
+				FakeLinks.this.scheduler.schedule(LATENCY, this.opposite::closedByOpposite);
 			}
 		}
 
-		private void arrive(byte[] payload) {
+		private void deliver(byte[] payload) {
 			if (this.closed) {
 				return;
 			}
 			boolean message = payload != PING;
-			boolean current = this.owner.connections.heard(this, message);
+			boolean current = this.owner.connections.received(this, message);
 			this.owner.heartbeats += message ? 0 : 1;
 			if (current && message) {
 				this.owner.received.add(payload);
 			}
 		}
 
-		private void closedByOther() {
-			if (!this.closed && !this.far.silent) {
+		private void closedByOpposite() {
+			if (!this.closed && !this.opposite.dropsSends) {
 				this.closed = true;
 				this.owner.connections.closed(this);
 			}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/peer/MessageCodecTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/peer/MessageCodecTests.java
@@ -41,12 +41,12 @@
 		.build());
 
 	@ParameterizedTest
-	@MethodSource("oddValues")
+	@MethodSource("boundaryValues")
 	void valuesSurviveTheRoundTrip(PeerMessage message) throws PeerProtocolException {
 		Truth.assertThat(this.codec.decode(PEER, this.codec.encode(message))).isEqualTo(Optional.of(message));
 	}
 
-	static Stream<PeerMessage> oddValues() {
+	static Stream<PeerMessage> boundaryValues() {
 		return Stream.of(
 				new Ids(new VmId("a"), new DataCentre("shah-alam"), new EndpointId("10.0.0.1:80"), ISSUER,
 						new RequestId(ISSUER, "x.Y_z-9"), new ClientAccountId("a".repeat(128)), new ModelName("m"),
@@ -66,14 +66,14 @@
 	void bytesSurviveTheRoundTrip() throws PeerProtocolException {
 		for (int size : new int[] { 0, 1, 255, 256, 65_536, 1_000_000 }) {
 			byte[] value = new byte[size];
-			Bytes read = (Bytes) this.codec.decode(PEER, this.codec.encode(new Bytes(value))).orElseThrow();
-			Truth.assertThat(read.value()).isEqualTo(value);
+			Bytes decoded = (Bytes) this.codec.decode(PEER, this.codec.encode(new Bytes(value))).orElseThrow();
+			Truth.assertThat(decoded.value()).isEqualTo(value);
 		}
 	}
 
 	@ParameterizedTest
 	@ValueSource(ints = { 100, 10_000, 1_000_000 })
-	void whatPacksBadlyTakesNoMoreThanPlain(int size) throws PeerProtocolException {
+	void incompressiblePayloadTakesNoMoreThanUncompressed(int size) throws PeerProtocolException {
 		byte[] value = new byte[size];
 		new Random(size).nextBytes(value);
 		byte[] payload = this.codec.encode(new Bytes(value));
@@ -82,25 +82,26 @@
 	}
 
 	@Test
-	void anUnprovenPeerCannotMakeThisSideUnpack() throws PeerProtocolException {
-		// Symptom: a stranger takes a daemon's memory. Sequence: it sends a frame of 2 KB
-		// before its greeting is complete, which unpacks to megabytes. Cause: packed
-		// frames were taken from anybody.
+	void compressedFrameOfAnUnauthenticatedPeerIsNotDecompressed() throws PeerProtocolException {
+		// Guards against an unauthenticated peer that exhausts a daemon's memory: before
+		// the handshake is complete it sends a frame of 2 KB that decompresses to
+		// megabytes.
 		byte[] payload = this.codec.encode(new Bytes(new byte[1_000_000]));
 		Truth.assertThat(payload.length).isLessThan(10_000);
-		Truth.assertThat(this.codec.decodeUnproven(PEER, payload)).isEmpty();
+		Truth.assertThat(this.codec.decodeUnauthenticated(PEER, payload)).isEmpty();
 	}
 
 	@ParameterizedTest
 	@ValueSource(ints = { 0, -1, 999_999, 1_000_100, Integer.MAX_VALUE })
-	void aPackedFrameWhoseLengthIsWrongIsMalformed(int claimed) throws Exception {
-		byte[] plain = new byte[1_000_000];
-		byte[] packed = FramePacking.pack(plain);
+	void compressedFrameWithAWrongLengthIsMalformed(int claimedLength) throws Exception {
+		byte[] uncompressed = new byte[1_000_000];
+		byte[] compressed = PayloadCompression.compress(uncompressed);
 		try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
 			packer.packArrayHeader(3).packInt(MessageCodec.PROTOCOL_VERSION).packInt(0);
-			packer.packArrayHeader(2).packInt(claimed);
-			packer.packBinaryHeader(packed.length).writePayload(packed);
-			Truth.assertThat(refusal(packer.toByteArray()).kind()).isEqualTo(PeerProtocolException.Kind.MALFORMED);
+			packer.packArrayHeader(2).packInt(claimedLength);
+			packer.packBinaryHeader(compressed.length).writePayload(compressed);
+			Truth.assertThat(decodeFailure(packer.toByteArray()).kind())
+				.isEqualTo(PeerProtocolException.Kind.MALFORMED);
 		}
 	}
 
@@ -110,59 +111,60 @@
 	}
 
 	@Test
-	void recordsAndIdsCarryNoNames() {
+	void recordsAndIdsAreEncodedWithoutComponentNames() {
 		byte[] payload = this.codec.encode(new Narrow(new VmId("entry-1")));
 		Truth.assertThat(payload)
 			.isEqualTo(new byte[] { (byte) 0x93, 1, 106, (byte) 0x91, (byte) 0xa7, 'e', 'n', 't', 'r', 'y', '-', '1' });
 	}
 
 	@Test
-	void anUnknownCodeIsNoMessage() throws PeerProtocolException {
+	void unknownCodeDecodesToEmpty() throws PeerProtocolException {
 		Truth.assertThat(this.codec.decode(PEER, new byte[] { (byte) 0x93, 1, 99, (byte) 0x90 })).isEmpty();
 	}
 
 	@Test
-	void aReaderIgnoresAppendedComponents() throws PeerProtocolException {
+	void appendedComponentsAreIgnored() throws PeerProtocolException {
 		byte[] payload = this.codec.encode(new Wide(new VmId("a"), 7, "new"));
 		payload[2] = 106;
 		Truth.assertThat(this.codec.decode(PEER, payload)).isEqualTo(Optional.of(new Narrow(new VmId("a"))));
 	}
 
 	@Test
-	void aReaderTakesMissingComponentsAsNullOrZero() throws PeerProtocolException {
+	void missingComponentsDecodeToNullOrZero() throws PeerProtocolException {
 		byte[] payload = this.codec.encode(new Narrow(new VmId("a")));
 		payload[2] = 107;
 		Truth.assertThat(this.codec.decode(PEER, payload)).isEqualTo(Optional.of(new Wide(new VmId("a"), 0, null)));
 	}
 
 	@Test
-	void anotherProtocolVersionIsNamed() {
-		PeerProtocolException ex = refusal(new byte[] { (byte) 0x93, 2, 104, (byte) 0x90 });
+	void otherProtocolVersionIsReportedAsWrongVersion() {
+		PeerProtocolException ex = decodeFailure(new byte[] { (byte) 0x93, 2, 104, (byte) 0x90 });
 		Truth.assertThat(ex.kind()).isEqualTo(PeerProtocolException.Kind.WRONG_VERSION);
 		Truth.assertThat(ex.peer()).isEqualTo(PEER);
 	}
 
 	/**
-	 * The last values claim lengths of up to two gigabytes within a few bytes.
+	 * The last values have headers that claim lengths of up to two gigabytes in a few
+	 * bytes.
 	 */
 	@ParameterizedTest
 	@ValueSource(strings = { "", "c0", "93", "9301", "930168", "93016890ff", "92016890", "94016890c0", "9301a16890",
 			"930168a0", "93016591a2207e", "474554202f20485454502f312e31", "93016991c67fffffff", "93016991c6ffffffff00",
 			"93016991db7fffffff", "93016991dd7fffffffdd7fffffff", "93016991df7fffffff" })
-	void nonsenseIsRefused(String hex) {
+	void malformedPayloadIsRejected(String hex) {
 		byte[] payload = bytes(hex);
-		PeerProtocolException ex = refusal(payload);
+		PeerProtocolException ex = decodeFailure(payload);
 		Truth.assertWithMessage(ex.getMessage()).that(ex.kind()).isEqualTo(PeerProtocolException.Kind.MALFORMED);
 	}
 
-	private PeerProtocolException refusal(byte[] payload) {
+	private PeerProtocolException decodeFailure(byte[] payload) {
 		try {
 			this.codec.decode(PEER, payload);
 		}
 		catch (PeerProtocolException ex) {
 			return ex;
 		}
-		throw new AssertionError("the payload was read");
+		throw new AssertionError("decoded a malformed payload");
 	}
 
 	private static byte[] bytes(String hex) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/peer/PeerConnectionsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/peer/PeerConnectionsTests.java
@@ -25,24 +25,24 @@
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
-	private final FakeWire wire = new FakeWire(this.scheduler);
+	private final FakeLinks links = new FakeLinks(this.scheduler);
 
-	private final Directory ofA = new Directory(B);
+	private final Directory directoryOfA = new Directory(B);
 
-	private final Directory ofB = new Directory(A);
+	private final Directory directoryOfB = new Directory(A);
 
-	private FakeWire.Node a;
+	private FakeLinks.Node a;
 
-	private FakeWire.Node b;
+	private FakeLinks.Node b;
 
 	@BeforeEach
 	void start() {
-		this.a = start("a", 1, this.ofA);
-		this.b = start("b", 1, this.ofB);
+		this.a = start("a", 1, this.directoryOfA);
+		this.b = start("b", 1, this.directoryOfB);
 	}
 
 	@Test
-	void theSmallerNameDials() {
+	void smallerNameDials() {
 		advance(Duration.ofSeconds(10));
 		Truth.assertThat(this.a.dials).containsExactly("b");
 		Truth.assertThat(this.b.dials).isEmpty();
@@ -50,8 +50,8 @@
 	}
 
 	@Test
-	void theGreaterNameDialsIfTheOtherDoesNot() {
-		this.ofA.wanted.clear();
+	void greaterNameDialsIfTheSmallerDoesNot() {
+		this.directoryOfA.wanted.clear();
 		advance(Duration.ofMillis(2_900));
 		Truth.assertThat(this.b.dials).isEmpty();
 		advance(Duration.ofSeconds(1));
@@ -60,9 +60,9 @@
 	}
 
 	@Test
-	void failedDialsBackOffUpToALimit() {
+	void failedDialsBackOffUpToTheMaximum() {
 		this.a.unreachable.add("b");
-		this.ofB.wanted.clear();
+		this.directoryOfB.wanted.clear();
 		advance(Duration.ofSeconds(10));
 		int first = this.a.dials.size();
 		Truth.assertThat(first).isIn(Range.closed(5, 9));
@@ -71,21 +71,20 @@
 	}
 
 	/**
-	 * Symptom: two daemons whose connection shows no error no longer hear each other, or
-	 * one no longer hears the other. Sequence: an established connection loses all that
-	 * is sent in the given directions; new connections work. Cause: something between
-	 * them has lost track of the connection. The side that hears nothing must open a
-	 * second connection and both must end up on it.
+	 * Guards against a connection that stops delivering without an error, in one or both
+	 * directions, because something on the network path no longer tracks it; new
+	 * connections work. The side that receives nothing must open a second connection, and
+	 * both sides must end up using it.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "true, false", "false, true", "true, true" })
-	void aSilentConnectionIsReplaced(boolean fromA, boolean fromB) {
+	void silentConnectionIsReplaced(boolean fromA, boolean fromB) {
 		advance(Duration.ofSeconds(2));
 		if (fromA) {
-			this.wire.silence("a", "b");
+			this.links.dropSends("a", "b");
 		}
 		if (fromB) {
-			this.wire.silence("b", "a");
+			this.links.dropSends("b", "a");
 		}
 		advance(Duration.ofSeconds(5));
 		this.a.connections.send(B, new byte[] { 1 });
@@ -96,63 +95,64 @@
 		Truth.assertThat(this.a.count("peer.connections.silent") + this.b.count("peer.connections.silent"))
 			.isAtLeast(1);
 		advance(Duration.ofSeconds(40));
-		Truth.assertThat(this.a.open()).hasSize(1);
-		Truth.assertThat(this.b.open()).hasSize(1);
+		Truth.assertThat(this.a.openLinks()).hasSize(1);
+		Truth.assertThat(this.b.openLinks()).hasSize(1);
 	}
 
 	/**
-	 * Symptom: a daemon drops its only connection to a peer and can't get a new one.
-	 * Sequence: the connection goes silent and no new one can be opened for a while.
-	 * Cause: closing the old connection before the new one is proven.
+	 * Guards against a daemon that closes its only connection to a peer and can't open a
+	 * new one: the connection becomes silent, and dials fail for a while. The silent
+	 * connection must stay open until its replacement has completed the handshake.
 	 */
 	@Test
-	void theOldConnectionStaysUntilTheNewOneIsOpen() {
+	void silentConnectionStaysOpenUntilItsReplacementIsOpen() {
 		advance(Duration.ofSeconds(2));
-		this.wire.silence("b", "a");
+		this.links.dropSends("b", "a");
 		this.a.unreachable.add("b");
 		advance(Duration.ofSeconds(10));
 		Truth.assertThat(this.a.dials).contains("b replacing");
-		Truth.assertThat(this.a.open()).hasSize(1);
+		Truth.assertThat(this.a.openLinks()).hasSize(1);
 		Truth.assertThat(this.a.connections.connected()).isEmpty();
 		this.a.unreachable.clear();
 		advance(Duration.ofSeconds(10));
 		Truth.assertThat(this.a.connections.connected()).containsExactly(B);
-		Truth.assertThat(this.a.open()).hasSize(1);
+		Truth.assertThat(this.a.openLinks()).hasSize(1);
 	}
 
 	/**
-	 * Symptom: two daemons connect, disconnect and connect again without end. Sequence:
-	 * both dial at the same moment and each sees the two connections open in another
-	 * order. Cause: each closes the connection that the other keeps.
+	 * Guards against two daemons that connect and disconnect endlessly: both dial at the
+	 * same time, each sees the two connections open in a different order, and each closes
+	 * the connection that the other keeps.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "true", "false" })
-	void ofTwoCrossedConnectionsBothSidesKeepTheSame(boolean firstByA) {
-		FakeWire.Node first = firstByA ? this.a : this.b;
-		FakeWire.Node second = firstByA ? this.b : this.a;
+	void bothSidesKeepTheSameOfTwoSimultaneousConnections(boolean firstByA) {
+		FakeLinks.Node first = firstByA ? this.a : this.b;
+		FakeLinks.Node second = firstByA ? this.b : this.a;
 		first.connect(second, false);
 		second.connect(first, false);
 		advance(Duration.ofSeconds(1));
-		Truth.assertThat(this.a.open()).hasSize(1);
-		Truth.assertThat(this.a.open().get(0).dialled()).isTrue();
-		Truth.assertThat(this.b.open()).hasSize(1);
-		Truth.assertThat(this.b.open().get(0).dialled()).isFalse();
+		Truth.assertThat(this.a.openLinks()).hasSize(1);
+		Truth.assertThat(this.a.openLinks().get(0).dialled()).isTrue();
+		Truth.assertThat(this.b.openLinks()).hasSize(1);
+		Truth.assertThat(this.b.openLinks().get(0).dialled()).isFalse();
 		Truth.assertThat(this.a.dials).isEmpty();
 		Truth.assertThat(this.b.dials).isEmpty();
 	}
 
 	/**
-	 * Symptom: a message of a daemon that was restarted takes effect after the new
-	 * daemon's first message. Sequence: the daemon is restarted, the new one greets, and
-	 * bytes of the old one are still under way. Cause: a look at the VM's name alone.
+	 * Guards against a message of an earlier incarnation that takes effect after messages
+	 * of the current one: the daemon restarts and completes its handshake while bytes of
+	 * the earlier incarnation are still in flight, and the receiver compares only the
+	 * VM's name.
 	 */
 	@Test
 	void framesOfAnEarlierIncarnationAreDropped() {
 		advance(Duration.ofSeconds(1));
-		FakeWire.End old = this.b.open().get(0);
-		FakeWire.Node restarted = start("a", 2, this.ofA);
+		FakeLinks.FakeLink earlier = this.b.openLinks().get(0);
+		FakeLinks.Node restarted = start("a", 2, this.directoryOfA);
 		advance(Duration.ofSeconds(1));
-		Truth.assertThat(this.b.connections.heard(old, true)).isFalse();
+		Truth.assertThat(this.b.connections.received(earlier, true)).isFalse();
 		Truth.assertThat(this.b.count("peer.frames.stale-incarnation")).isEqualTo(1);
 		this.b.connections.send(A, new byte[] { 1 });
 		advance(Duration.ofSeconds(1));
@@ -160,20 +160,20 @@
 	}
 
 	@Test
-	void aGreetingOfAnEarlierIncarnationIsRefused() {
-		FakeWire.Node restarted = start("a", 2, this.ofA);
+	void handshakeOfAnEarlierIncarnationIsRejected() {
+		FakeLinks.Node restarted = start("a", 2, this.directoryOfA);
 		advance(Duration.ofSeconds(1));
-		this.ofA.wanted.clear();
+		this.directoryOfA.wanted.clear();
 		this.a.connect(this.b, false);
 		advance(Duration.ofSeconds(1));
-		Truth.assertThat(this.a.open()).isEmpty();
-		Truth.assertThat(restarted.open()).hasSize(1);
+		Truth.assertThat(this.a.openLinks()).isEmpty();
+		Truth.assertThat(restarted.openLinks()).hasSize(1);
 	}
 
 	@Test
-	void aMessageToAnUnconnectedVmWaitsForItsConnection() {
-		this.ofA.wanted.clear();
-		this.ofB.wanted.clear();
+	void messagesToAnUnconnectedVmArePendingUntilItsConnectionIsOpen() {
+		this.directoryOfA.wanted.clear();
+		this.directoryOfB.wanted.clear();
 		Truth.assertThat(this.a.connections.send(B, new byte[] { 1 })).isTrue();
 		Truth.assertThat(this.a.connections.send(B, new byte[] { 2 })).isTrue();
 		advance(Duration.ofSeconds(1));
@@ -181,21 +181,21 @@
 			.containsExactly((byte) 1, (byte) 2)
 			.inOrder();
 		advance(Duration.ofSeconds(58));
-		Truth.assertThat(this.a.open()).hasSize(1);
+		Truth.assertThat(this.a.openLinks()).hasSize(1);
 		advance(Duration.ofSeconds(3));
-		Truth.assertThat(this.a.open()).isEmpty();
-		Truth.assertThat(this.b.open()).isEmpty();
+		Truth.assertThat(this.a.openLinks()).isEmpty();
+		Truth.assertThat(this.b.openLinks()).isEmpty();
 	}
 
 	@Test
-	void messagesWaitWithinTheBoundOnly() {
+	void pendingBytesAreBounded() {
 		Truth.assertThat(this.a.connections.send(B, new byte[60])).isTrue();
 		Truth.assertThat(this.a.connections.send(B, new byte[60])).isFalse();
 		Truth.assertThat(this.a.count("peer.sends.refused")).isEqualTo(1);
 	}
 
 	@Test
-	void aFailedDialLosesWhatWaitedAndRefusesMoreUntilTheNextDial() {
+	void failedDialDropsPendingMessagesAndRefusesSendsUntilTheNextDial() {
 		this.a.unreachable.add("b");
 		this.a.connections.send(B, new byte[1]);
 		this.scheduler.advance(Duration.ofMillis(50));
@@ -206,13 +206,13 @@
 	}
 
 	@Test
-	void aVmWithoutAnAddressGetsNothing() {
+	void sendsToAnUnknownAddressOrToSelfAreRefused() {
 		Truth.assertThat(this.a.connections.send(new VmId("c"), new byte[1])).isFalse();
 		Truth.assertThat(this.a.connections.send(A, new byte[1])).isFalse();
 	}
 
 	@Test
-	void heartbeatsFlowOnlyWhereNothingElseDoes() {
+	void heartbeatsAreSentOnlyOnIdleConnections() {
 		advance(Duration.ofSeconds(1));
 		int before = this.b.heartbeats;
 		for (int i = 0; i < 20; i++) {
@@ -225,12 +225,12 @@
 	}
 
 	/**
-	 * Symptom: after a pause of its process a daemon replaces all its connections.
-	 * Sequence: the process stands still for ten seconds and runs its timers before it
-	 * reads its sockets. Cause: its own pause taken for the silence of all others.
+	 * Guards against a daemon that replaces all its connections after a pause of its own
+	 * process: it is suspended for ten seconds and then runs its timers before it reads
+	 * its sockets, so that all peers appear silent.
 	 */
 	@Test
-	void anOwnPauseIsNotTakenForSilence() {
+	void pauseOfOwnProcessIsNotTreatedAsSilence() {
 		advance(Duration.ofSeconds(2));
 		this.scheduler.advance(Duration.ofSeconds(10));
 		this.a.connections.tick();
@@ -238,16 +238,16 @@
 		Truth.assertThat(this.a.connections.connected()).containsExactly(B);
 	}
 
-	private FakeWire.Node start(String vm, long start, Directory directory) {
-		return this.wire.start(vm, start, directory);
+	private FakeLinks.Node start(String vm, long start, Directory directory) {
+		return this.links.start(vm, start, directory);
 	}
 
-	private void advance(Duration span) {
-		long end = this.scheduler.nanos() + span.toNanos();
+	private void advance(Duration duration) {
+		long end = this.scheduler.nanos() + duration.toNanos();
 		while (this.scheduler.nanos() < end) {
-			this.wire.tickAll();
-			long left = end - this.scheduler.nanos();
-			this.scheduler.advance(Duration.ofNanos(Math.min(TICK.toNanos(), left)));
+			this.links.tickAll();
+			long remaining = end - this.scheduler.nanos();
+			this.scheduler.advance(Duration.ofNanos(Math.min(TICK.toNanos(), remaining)));
 		}
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/peer/RawPeer.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/peer/RawPeer.java
@@ -11,7 +11,7 @@
 import org.bramleyscale.VmId;
 
 /**
- * A peer on a plain socket that does only what the test tells it.
+ * A peer on a plain socket, driven entirely by the test.
  */
 final class RawPeer implements AutoCloseable {
 
@@ -34,27 +34,27 @@
 	}
 
 	/**
-	 * Greets the daemon at the other end and sends messages in one piece with the last
-	 * frame of the greeting.
+	 * Completes the handshake with the daemon at the other end and sends messages in the
+	 * same write as the last frame of the handshake.
 	 */
-	Hello greet(PeerIdentity identity, VmId dialled, PeerMessage... messages) throws Exception {
-		Hello own = new Hello(new byte[Greeting.NONCE_BYTES], identity, false);
-		Greeting greeting = new Greeting(this.key, this.codec, own, dialled);
-		write(own);
-		Hello other = (Hello) read();
-		ByteArrayOutputStream piece = new ByteArrayOutputStream();
-		write(this.codec.encode(greeting.receive(other).orElseThrow()), piece);
+	Hello handshake(PeerIdentity identity, VmId dialled, PeerMessage... messages) throws Exception {
+		Hello ownHello = new Hello(new byte[Handshake.NONCE_BYTES], identity, false);
+		Handshake handshake = new Handshake(this.key, this.codec, ownHello, dialled);
+		write(ownHello);
+		Hello remoteHello = (Hello) read();
+		ByteArrayOutputStream buffer = new ByteArrayOutputStream();
+		write(this.codec.encode(handshake.receive(remoteHello).orElseThrow()), buffer);
 		for (PeerMessage message : messages) {
-			write(this.codec.encode(message), piece);
+			write(this.codec.encode(message), buffer);
 		}
-		this.output.write(piece.toByteArray());
-		greeting.receive(read());
-		Truth.assertThat(greeting.complete()).isTrue();
-		return other;
+		this.output.write(buffer.toByteArray());
+		handshake.receive(read());
+		Truth.assertThat(handshake.complete()).isTrue();
+		return remoteHello;
 	}
 
 	/**
-	 * Reads the next message that isn't a heartbeat.
+	 * Returns the next message that isn't a heartbeat.
 	 */
 	PeerMessage readMessage() throws Exception {
 		PeerMessage message = read();
@@ -67,7 +67,7 @@
 	/**
 	 * Reads until the other end has closed the connection.
 	 */
-	void awaitEnd() throws IOException {
+	void awaitClose() throws IOException {
 		this.input.readAllBytes();
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/peer/TcpPeerNetworkTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/peer/TcpPeerNetworkTests.java
@@ -33,8 +33,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Real sockets on loopback. Each wait ends with an event; the timeout only ends a test
- * that would otherwise hang.
+ * Uses real sockets on loopback. Each wait ends with an event; the timeout only ends a
+ * test that would otherwise hang.
  */
 @Timeout(60)
 class TcpPeerNetworkTests {
@@ -43,7 +43,7 @@
 
 	private static final byte[] OTHER_KEY = "another key of 20 bytes".getBytes(StandardCharsets.UTF_8);
 
-	private static final PeerTimes TIMES = new PeerTimes(Duration.ofMillis(200), Duration.ofMillis(1_000),
+	private static final PeerTimings TIMINGS = new PeerTimings(Duration.ofMillis(200), Duration.ofMillis(1_000),
 			Duration.ofSeconds(30), Duration.ofMillis(500), Duration.ofMinutes(1), Duration.ofSeconds(5),
 			Duration.ofMillis(50), Duration.ofMillis(500));
 
@@ -76,34 +76,34 @@
 	}
 
 	/**
-	 * Symptom: a peer's first message is lost. Sequence: it arrives in one piece with the
-	 * greeting's last frame. Cause: it is read before the link is there.
+	 * Guards against the loss of a peer's first message when it arrives together with the
+	 * last frame of the handshake and is decoded before the link exists.
 	 */
 	@Test
-	void aMessageInOnePieceWithTheGreetingIsDelivered() throws Exception {
+	void messageArrivingWithTheHandshakeIsDelivered() throws Exception {
 		Daemon a = daemon("a", KEY);
 		try (RawPeer peer = new RawPeer(CODEC, KEY, new Socket(InetAddress.getLoopbackAddress(), a.port))) {
-			peer.greet(identity("b"), new VmId("a"), new Note(1, new byte[3]));
+			peer.handshake(identity("b"), new VmId("a"), new Note(1, new byte[3]));
 			Truth.assertThat(a.notes.take()).isEqualTo("b~1 1 3");
 		}
 	}
 
 	@Test
-	void anObjectOfThePlatformsLargestSizeFits() throws Exception {
+	void platformObjectOfMaximumSizeFitsInAFrame() throws Exception {
 		Daemon a = daemon("a", KEY);
 		Daemon b = daemon("b", KEY);
 		a.send("b", new Note(1, new byte[1_000_000]));
 		Truth.assertThat(b.notes.take()).isEqualTo("a~1 1 1000000");
-		Truth.assertThat(a.trySend("b", new Note(1, new byte[TcpPeerSettings.DEFAULT_LARGEST_FRAME]))).isFalse();
+		Truth.assertThat(a.trySend("b", new Note(1, new byte[TcpPeerSettings.DEFAULT_MAX_FRAME_BYTES]))).isFalse();
 	}
 
 	@Test
-	void aWrongKeyIsCutOff() throws Exception {
+	void peerWithAWrongKeyIsDisconnected() throws Exception {
 		Daemon a = daemon("a", KEY);
 		Daemon b = daemon("b", OTHER_KEY);
-		b.want("a");
+		b.addWanted("a");
 		a.awaitCount("peer.cut-off.wrong-key");
-		Truth.assertThat(a.call(() -> a.network.connected())).isEmpty();
+		Truth.assertThat(a.callOnLoop(() -> a.network.connected())).isEmpty();
 		Truth.assertThat(a.count("peer.connections.opened")).isEqualTo(0);
 	}
 
@@ -111,32 +111,32 @@
 	@ValueSource(strings = { "GET / HTTP/1.1\r\n\r\n", "\0\0\0\1\u00c0", "\0\0\0\3\u0093\1\1",
 			"\0\0\0\4\u0093\1\1\u0090", "\0\0\0\11\u0093\1\2\u0091\u00c6\177\377\377\377", "\0\0\0\4\u0093\1\143\u0090",
 			"\0\0\0\4\u0093\2\1\u0090", "\0\0\0\0", "\377\377\377\377" })
-	void nonsenseIsCutOffAndCounted(String nonsense) throws Exception {
+	void malformedHandshakeIsDisconnectedAndCounted(String input) throws Exception {
 		Daemon a = daemon("a", KEY);
 		try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), a.port)) {
-			socket.getOutputStream().write(nonsense.getBytes(StandardCharsets.ISO_8859_1));
+			socket.getOutputStream().write(input.getBytes(StandardCharsets.ISO_8859_1));
 			socket.getInputStream().readAllBytes();
 		}
 		Truth.assertThat(a.count("peer.cut-off.malformed") + a.count("peer.cut-off.wrong-version")).isEqualTo(1);
 	}
 
 	@Test
-	void nonsenseAfterTheGreetingIsCutOff() throws Exception {
+	void malformedFrameAfterTheHandshakeIsDisconnected() throws Exception {
 		Daemon a = daemon("a", KEY);
 		try (RawPeer peer = connect(a)) {
 			peer.write(new byte[] { 1, 2, 3 });
-			peer.awaitEnd();
+			peer.awaitClose();
 		}
 		a.awaitCount("peer.cut-off.malformed");
 	}
 
 	/**
-	 * Symptom: a stranger without the key is taken for a daemon. Sequence: it dials two
-	 * daemons and hands each one's greeting and proof to the other. Cause: proofs that
-	 * don't depend on the speaker's role.
+	 * Guards against an attacker without the key that is accepted as a daemon: it dials
+	 * two daemons and relays the hello and proof of each to the other, which succeeds if
+	 * proofs don't depend on the sender's role.
 	 */
 	@Test
-	void proofsPassedOnBetweenTwoDialledDaemonsAreCutOff() throws Exception {
+	void proofsRelayedBetweenTwoDaemonsAreRejected() throws Exception {
 		Daemon a = daemon("a", KEY);
 		Daemon b = daemon("b", KEY);
 		try (RawPeer toA = new RawPeer(CODEC, KEY, new Socket(InetAddress.getLoopbackAddress(), a.port));
@@ -145,31 +145,31 @@
 			toA.write(toB.read());
 			toB.write(toA.read());
 			toA.write(toB.read());
-			toA.awaitEnd();
-			toB.awaitEnd();
+			toA.awaitClose();
+			toB.awaitClose();
 		}
 		a.awaitCount("peer.cut-off.wrong-key");
 		b.awaitCount("peer.cut-off.wrong-key");
 	}
 
 	/**
-	 * Symptom: nothing is heard from a daemon that works, and no error shows. Sequence:
-	 * an established connection stops carrying anything. Cause: something between the
-	 * ends has lost track of it. A second connection must be opened while the first is
-	 * still there, and messages must flow over it.
+	 * Guards against a connection to a working daemon that stops delivering without an
+	 * error because something on the network path no longer tracks it. A second
+	 * connection must be opened while the first is still open, and messages must be sent
+	 * over it.
 	 */
 	@Test
-	void aConnectionGoneSilentIsReplacedByANewOne() throws Exception {
+	void silentConnectionIsReplacedByANewOne() throws Exception {
 		try (ServerSocket listener = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
 			this.addresses.put(new VmId("b"), "127.0.0.1:" + listener.getLocalPort());
 			Daemon a = daemon("a", KEY);
-			a.want("b");
+			a.addWanted("b");
 			try (RawPeer silent = new RawPeer(CODEC, KEY, listener.accept())) {
-				Truth.assertThat(silent.greet(identity("b"), null).replacing()).isFalse();
+				Truth.assertThat(silent.handshake(identity("b"), null).replacing()).isFalse();
 				try (RawPeer second = new RawPeer(CODEC, KEY, listener.accept())) {
 					Truth.assertThat(a.count("peer.connections.opened")).isEqualTo(1);
-					Truth.assertThat(second.greet(identity("b"), null).replacing()).isTrue();
-					silent.awaitEnd();
+					Truth.assertThat(second.handshake(identity("b"), null).replacing()).isTrue();
+					silent.awaitClose();
 					a.send("b", new Note(5, new byte[0]));
 					Truth.assertThat(((Note) second.readMessage()).number()).isEqualTo(5);
 				}
@@ -178,18 +178,18 @@
 	}
 
 	/**
-	 * Symptom: a daemon's heap fills up. Sequence: a peer keeps its connection open and
-	 * doesn't read. Cause: frames queued without a bound.
+	 * Guards against an exhausted heap: a peer keeps its connection open without reading,
+	 * and frames are queued without a bound.
 	 */
 	@Test
-	void aPeerThatDoesNotReadIsBounded() throws Exception {
+	void queueOfAPeerThatDoesNotReadIsBounded() throws Exception {
 		Daemon a = daemon("a", KEY);
 		try (RawPeer peer = connect(a)) {
 			a.awaitCount("peer.connections.opened");
 			int accepted = 0;
-			byte[] unpackable = new byte[1_000_000];
-			new Random(1).nextBytes(unpackable);
-			while (a.trySend("b", new Note(accepted, unpackable))) {
+			byte[] incompressible = new byte[1_000_000];
+			new Random(1).nextBytes(incompressible);
+			while (a.trySend("b", new Note(accepted, incompressible))) {
 				accepted++;
 				Truth.assertThat(accepted).isLessThan(100);
 			}
@@ -199,7 +199,7 @@
 	}
 
 	@Test
-	void anAddressInUseIsAnErrorWithItsStep() throws Exception {
+	void addressInUseIsReportedWithTheAddress() throws Exception {
 		Daemon a = daemon("a", KEY);
 		EventLoop loop = new EventLoop("second");
 		this.toClose.add(loop);
@@ -213,12 +213,12 @@
 			Truth.assertThat(ex).hasMessageThat().contains(":" + a.port);
 			return;
 		}
-		throw new AssertionError("the address was bound twice");
+		throw new AssertionError("bound an address that is in use");
 	}
 
 	private static RawPeer connect(Daemon daemon) throws Exception {
 		RawPeer peer = new RawPeer(CODEC, KEY, new Socket(InetAddress.getLoopbackAddress(), daemon.port));
-		peer.greet(identity("b"), new VmId("a"));
+		peer.handshake(identity("b"), new VmId("a"));
 		return peer;
 	}
 
@@ -233,7 +233,7 @@
 			.identity(identity(vm))
 			.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
 			.key(key)
-			.times(TIMES)
+			.timings(TIMINGS)
 			.build();
 	}
 
@@ -269,7 +269,7 @@
 			this.port = this.network.start(new Directory(this.wanted));
 		}
 
-		private void want(String vm) {
+		private void addWanted(String vm) {
 			this.wanted.add(new VmId(vm));
 		}
 
@@ -278,10 +278,10 @@
 		}
 
 		private boolean trySend(String vm, Note note) throws Exception {
-			return call(() -> this.network.send(new VmId(vm), note));
+			return callOnLoop(() -> this.network.send(new VmId(vm), note));
 		}
 
-		private <T> T call(Supplier<T> task) throws Exception {
+		private <T> T callOnLoop(Supplier<T> task) throws Exception {
 			return CompletableFuture.supplyAsync(task, this.loop::execute).get(30, TimeUnit.SECONDS);
 		}
 
@@ -291,7 +291,7 @@
 
 		private void awaitCount(String name) throws Exception {
 			while (count(name) == 0) {
-				call(() -> 0);
+				callOnLoop(() -> 0);
 			}
 		}
 
