--- a/bench/src/main/java/org/bramleyscale/bench/capacity/FleetCosts.java
+++ b/bench/src/main/java/org/bramleyscale/bench/capacity/FleetCosts.java
@@ -89,7 +89,7 @@
 		fleet.load(LOAD, SPAN);
 		double daemonSeconds = SPAN.toSeconds() * size.daemons();
 		fleet.census().counts().forEach((type, count) -> {
-			String name = PeerMessage.nameOf(type);
+			String name = type.getSimpleName();
 			this.figures.add(CONTROL, name + ", sent by each daemon", count.messages() / daemonSeconds, "1/s");
 			this.figures.add(CONTROL, name + ", on the wire", (double) count.bytes() / count.messages(), "B");
 			this.figures.add(CONTROL, name + ", encode and decode", codecNanos(fleet.codec(), count.largest()), "ns");
--- a/bench/src/main/java/org/bramleyscale/bench/capacity/MessageCensus.java
+++ b/bench/src/main/java/org/bramleyscale/bench/capacity/MessageCensus.java
@@ -24,7 +24,7 @@
 	private final MessageCodec codec;
 
 	private final Map<Class<? extends PeerMessage>, Count> counts = new TreeMap<>(
-			Comparator.comparing(PeerMessage::nameOf));
+			Comparator.comparing((Class<? extends PeerMessage> type) -> type.getSimpleName()));
 
 	MessageCensus(MessageCodec codec) {
 		this.codec = codec;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/FleetPresence.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/FleetPresence.java
@@ -47,7 +47,7 @@
 	 * @param builder the message catalog
 	 */
 	public static void register(MessageCatalog.Builder builder) {
-		builder.add(107, LeavingUpdate.class);
+		builder.add(107, LeavingUpdate.class, "LeavingTold");
 	}
 
 	@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/LeavingUpdate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/LeavingUpdate.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 
-import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -10,6 +9,5 @@
  *
  * @param endpoints their starts as text
  */
-@MessageName("LeavingTold")
 public record LeavingUpdate(List<String> endpoints) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashExchange.java
@@ -57,7 +57,7 @@
 	 * @param builder the message catalog
 	 */
 	static void register(MessageCatalog.Builder builder) {
-		builder.add(105, CrashUpdate.class);
+		builder.add(105, CrashUpdate.class, "CrashesTold");
 	}
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashUpdate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashUpdate.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 
-import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -12,7 +11,6 @@
  * @param cleared digests of requests that ran to completion
  * @param living endpoints that answered after their crash was reported
  */
-@MessageName("CrashesTold")
 public record CrashUpdate(List<Crash> crashes, List<String> cleared, List<String> living) implements PeerMessage {
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/CopiesDigest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/CopiesDigest.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 
-import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -11,7 +10,6 @@
  * @param kinds one entry for each kind that the daemon follows
  * @param times when it was sent; null from a sender of a version without timestamps
  */
-@MessageName("CopiesHeld")
 public record CopiesDigest(List<Held> kinds, SendingTimes times) implements PeerMessage {
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/CopiesUpdate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/CopiesUpdate.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 
-import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -18,7 +17,6 @@
  * @param objects the copies
  * @param times when it was sent; null from a sender of a version without timestamps
  */
-@MessageName("CopiesTold")
 public record CopiesUpdate(String kind, long from, long to, long ageMillis, long outageMillis, List<ObjectCopy> objects,
 		SendingTimes times) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/PeerCopies.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/PeerCopies.java
@@ -110,7 +110,7 @@
 	 * @param builder the catalog
 	 */
 	public static void register(MessageCatalog.Builder builder) {
-		builder.add(101, CopiesDigest.class).add(102, CopiesUpdate.class);
+		builder.add(101, CopiesDigest.class, "CopiesHeld").add(102, CopiesUpdate.class, "CopiesTold");
 	}
 
 	public void start() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/FleetLimits.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/FleetLimits.java
@@ -63,7 +63,7 @@
 	 * @param builder the message catalog
 	 */
 	public static void register(MessageCatalog.Builder builder) {
-		builder.add(106, LimitsUpdate.class);
+		builder.add(106, LimitsUpdate.class, "LimitsTold");
 	}
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/LimitsUpdate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/LimitsUpdate.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 
-import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -10,7 +9,6 @@
  *
  * @param limits the limits
  */
-@MessageName("LimitsTold")
 public record LimitsUpdate(List<Limit> limits) implements PeerMessage {
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadExchange.java
@@ -128,7 +128,7 @@
 	 * @param builder the catalog
 	 */
 	public static void register(MessageCatalog.Builder builder) {
-		builder.add(103, LoadUpdate.class).add(104, LoadSummary.class);
+		builder.add(103, LoadUpdate.class, "LoadTold").add(104, LoadSummary.class, "LoadSummed");
 	}
 
 	public void start() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadSummary.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadSummary.java
@@ -5,7 +5,6 @@
 import java.util.Set;
 
 import org.bramleyscale.VmId;
-import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -22,7 +21,6 @@
  * @param unresponsive other relays from which the relay gets no updates; without this,
  * daemons would learn of their failure only from membership, seconds later
  */
-@MessageName("LoadSummed")
 public record LoadSummary(boolean fleet, boolean full, List<LoadUpdate.Share> shares, List<LoadUpdate.Demand> demands,
 		Map<String, Long> included, Set<VmId> unresponsive) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadUpdate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadUpdate.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 
-import org.bramleyscale.internal.peer.MessageName;
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
@@ -12,7 +11,6 @@
  * @param shares its load by endpoint
  * @param demands its demand by service
  */
-@MessageName("LoadTold")
 public record LoadUpdate(long sequence, List<Share> shares, List<Demand> demands) implements PeerMessage {
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/MessageCatalog.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/MessageCatalog.java
@@ -5,11 +5,12 @@
 import java.util.Optional;
 
 /**
- * The fixed code of each type of peer message.
+ * The fixed code and name of each type of peer message.
  *
  * <p>
  * Codes are part of the wire protocol: a code is never given to another type. Each slice
- * enters its own messages in its own range. Immutable and safe for use by multiple
+ * enters its own messages in its own range. Names of metrics end with the name of a
+ * message, so it stays when a class is renamed. Immutable and safe for use by multiple
  * threads.
  */
 public final class MessageCatalog {
@@ -18,9 +19,12 @@
 
 	private final Map<Class<? extends PeerMessage>, Integer> codesByType;
 
+	private final Map<Class<? extends PeerMessage>, String> namesByType;
+
 	private MessageCatalog(Builder builder) {
 		this.typesByCode = Map.copyOf(builder.typesByCode);
 		this.codesByType = Map.copyOf(builder.codesByType);
+		this.namesByType = Map.copyOf(builder.namesByType);
 	}
 
 	public static Builder builder() {
@@ -41,6 +45,20 @@
 		return code;
 	}
 
+	/**
+	 * Returns the name under which messages of a type are counted.
+	 * @param type the type
+	 * @return its name
+	 * @throws IllegalArgumentException if the type is not in the catalog
+	 */
+	public String name(Class<? extends PeerMessage> type) {
+		String name = this.namesByType.get(type);
+		if (name == null) {
+			throw new IllegalArgumentException("peer message type '" + type.getName() + "' has no name");
+		}
+		return name;
+	}
+
 	/**
 	 * The type of a code.
 	 * @param code the code
@@ -51,7 +69,7 @@
 	}
 
 	/**
-	 * Collects types and codes; not safe for use by multiple threads.
+	 * Collects types, codes and names; not safe for use by multiple threads.
 	 */
 	public static final class Builder {
 
@@ -59,14 +77,34 @@
 
 		private final Map<Class<? extends PeerMessage>, Integer> codesByType = new HashMap<>();
 
+		private final Map<Class<? extends PeerMessage>, String> namesByType = new HashMap<>();
+
 		private Builder() {
 		}
 
+		/**
+		 * Adds a type that is counted under the simple name of its class.
+		 * @param code its code
+		 * @param type the type
+		 * @return this builder
+		 */
 		public Builder add(int code, Class<? extends PeerMessage> type) {
+			return add(code, type, type.getSimpleName());
+		}
+
+		/**
+		 * Adds a type that is counted under a name of its own.
+		 * @param code its code
+		 * @param type the type
+		 * @param name its name, unique among the messages of the catalog
+		 * @return this builder
+		 */
+		public Builder add(int code, Class<? extends PeerMessage> type, String name) {
 			if (this.typesByCode.putIfAbsent(code, type) != null) {
 				throw new IllegalArgumentException("peer message code " + code + " is taken");
 			}
 			this.codesByType.put(type, code);
+			this.namesByType.put(type, name);
 			return this;
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/MessageCodec.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/MessageCodec.java
@@ -46,6 +46,10 @@
 		this.catalog = catalog;
 	}
 
+	MessageCatalog catalog() {
+		return this.catalog;
+	}
+
 	/**
 	 * Writes a message.
 	 * @param message a message whose type is in the catalog
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerCounters.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerCounters.java
@@ -15,6 +15,8 @@
 
 	private final MetricRegistry metrics;
 
+	private final MessageCatalog catalog;
+
 	private final Counter opened;
 
 	private final Counter silent;
@@ -33,8 +35,9 @@
 
 	private final Map<Class<?>, Counter> messages = new HashMap<>();
 
-	PeerCounters(MetricRegistry metrics) {
+	PeerCounters(MetricRegistry metrics, MessageCatalog catalog) {
 		this.metrics = metrics;
+		this.catalog = catalog;
 		this.opened = metrics.counter("peer.connections.opened");
 		this.silent = metrics.counter("peer.connections.silent");
 		this.refusedSends = metrics.counter("peer.sends.refused");
@@ -75,12 +78,13 @@
 
 	/**
 	 * Counts a message by its type.
-	 * @param message the message; called on the scheduler's thread only
+	 * @param message a message whose type is in the catalog; called on the scheduler's
+	 * thread only
 	 */
 	void received(PeerMessage message) {
 		this.messages
 			.computeIfAbsent(message.getClass(),
-					(type) -> this.metrics.counter("peer.messages.received." + PeerMessage.nameOf(message.getClass())))
+					(type) -> this.metrics.counter("peer.messages.received." + this.catalog.name(message.getClass())))
 			.inc();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerMessage.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerMessage.java
@@ -10,14 +10,4 @@
  */
 public interface PeerMessage {
 
-	/**
-	 * The name under which messages of a type are counted.
-	 * @param type the type
-	 * @return the value of its {@link MessageName}, or its simple name if it has none
-	 */
-	static String nameOf(Class<? extends PeerMessage> type) {
-		MessageName name = type.getAnnotation(MessageName.class);
-		return (name != null) ? name.value() : type.getSimpleName();
-	}
-
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TcpPeerNetwork.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TcpPeerNetwork.java
@@ -116,7 +116,7 @@
 		this.scheduler = scheduler;
 		this.codec = codec;
 		this.random = random;
-		this.counters = new PeerCounters(metrics);
+		this.counters = new PeerCounters(metrics, codec.catalog());
 	}
 
 	/**
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/PeerSetupTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/PeerSetupTests.java
@@ -5,7 +5,6 @@
 
 import com.google.common.truth.Truth;
 import org.bramleyscale.internal.peer.MessageCatalog;
-import org.bramleyscale.internal.peer.PeerMessage;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -25,7 +24,7 @@
 		Map<Integer, String> names = new TreeMap<>();
 		for (int code = 0; code < CODE_LIMIT; code++) {
 			int of = code;
-			catalog.type(code).ifPresent((type) -> names.put(of, PeerMessage.nameOf(type)));
+			catalog.type(code).ifPresent((type) -> names.put(of, catalog.name(type)));
 		}
 		Truth.assertThat(names)
 			.containsExactlyEntriesIn(Map.ofEntries(Map.entry(1, "Ping"), Map.entry(2, "Hello"), Map.entry(3, "Proof"),
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/peer/FakeWire.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/peer/FakeWire.java
@@ -75,9 +75,9 @@
 
 		private Node(Incarnation self, PeerDirectory directory) {
 			this.self = self;
-			this.connections = new PeerConnections(
-					new PeerEnvironment(self.vm(), FakeWire.this.scheduler, new Random(1), directory, this::dial,
-							PeerTimes.DEFAULT, 100, new PeerCounters(this.metrics), PING));
+			this.connections = new PeerConnections(new PeerEnvironment(self.vm(), FakeWire.this.scheduler,
+					new Random(1), directory, this::dial, PeerTimes.DEFAULT, 100,
+					new PeerCounters(this.metrics, MessageCatalog.builder().build()), PING));
 		}
 
 		List<End> open() {
