--- a/bramleyscale/src/test/java/org/bramleyscale/internal/peer/FakeLinks.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/peer/FakeLinks.java
@@ -75,9 +75,9 @@
 
 		private Node(Incarnation self, PeerDirectory directory) {
 			this.self = self;
-			this.connections = new PeerConnections(
-					new PeerEnvironment(self.vm(), FakeLinks.this.scheduler, new Random(1), directory, this::dial,
-							PeerTimings.DEFAULT, 100, new PeerCounters(this.metrics, MessageCatalog.builder().build()), PING));
+			this.connections = new PeerConnections(new PeerEnvironment(self.vm(), FakeLinks.this.scheduler,
+					new Random(1), directory, this::dial, PeerTimings.DEFAULT, 100,
+					new PeerCounters(this.metrics, MessageCatalog.builder().build()), PING));
 		}
 
 		List<FakeLink> openLinks() {
