--- a/bench/src/main/java/org/bramleyscale/bench/routing/FakePool.java
+++ b/bench/src/main/java/org/bramleyscale/bench/routing/FakePool.java
@@ -14,7 +14,7 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * One entry's view of the engines: grants, lagging reports, learnt speeds and health.
+ * One entry's view of the engines: grants, lagging reports, estimated speeds and health.
  */
 final class FakePool {
 
@@ -134,9 +134,9 @@
 	private Candidate candidate(int engine) {
 		EndpointId id = this.ids.get(engine);
 		LoadReport report = this.reports[engine];
-		boolean learnt = this.contender.uses(Mechanism.LEARNT_SPEED);
-		double speed = learnt ? this.speeds.prefillTokensPerSecond(id) : 0;
-		double step = learnt ? this.speeds.stepSeconds(id) : 0;
+		boolean estimated = this.contender.uses(Mechanism.LEARNT_SPEED);
+		double speed = estimated ? this.speeds.prefillTokensPerSecond(id) : 0;
+		double step = estimated ? this.speeds.stepSeconds(id) : 0;
 		boolean healthy = !this.contender.uses(Mechanism.HEALTH);
 		double penalty = healthy ? 0 : this.health.penaltySeconds(id);
 		boolean readmitting = !healthy && this.health.readmitting(id);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EndpointAccount.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EndpointAccount.java
@@ -272,8 +272,10 @@
 		}
 		Amount rest = capacity().minus(held()).minus(unattributedUse());
 		Amount divisible = this.reservedShare.divisible(capacity(), rest);
-		long olderKv = accounts.stream().mapToLong((account) -> account.olderKv(collection())).sum();
-		Amount free = unallocated(now).min(divisible.plus(new Amount(0, olderKv)).minus(committed(now)));
+		long kvBeforeCollection = accounts.stream()
+			.mapToLong((account) -> account.kvBeforeCollection(collection()))
+			.sum();
+		Amount free = unallocated(now).min(divisible.plus(new Amount(0, kvBeforeCollection)).minus(committed(now)));
 		return new GrantTargets(accounts, bounds, divisible, free, collection());
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EntryAccount.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EntryAccount.java
@@ -72,8 +72,8 @@
 	}
 
 	/**
-	 * Returns the pacing of grants that are pushed without a demand.
-	 * @return the pacing
+	 * Returns the back-off of grants that are pushed without a demand.
+	 * @return the back-off
 	 */
 	SendBackoff pushes() {
 		return this.pushes;
@@ -127,7 +127,7 @@
 	 * @return the tokens; all that are in use if the entry does not know the collection
 	 * yet
 	 */
-	long olderKv(int collection) {
+	long kvBeforeCollection(int collection) {
 		if (collection == 0) {
 			return 0;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/GrantTargets.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/GrantTargets.java
@@ -75,7 +75,7 @@
 		if (index < 0) {
 			return Amount.NONE;
 		}
-		long memory = this.memoryTargets[index] + entry.olderKv(this.collection);
+		long memory = this.memoryTargets[index] + entry.kvBeforeCollection(this.collection);
 		Amount target = new Amount((int) this.slotTargets[index], memory);
 		return target.min(this.free.plus(this.bounds.get(index))).max(Amount.NONE);
 	}
@@ -91,7 +91,8 @@
 	private List<FairShares.Claim> wantedMemory(EntryAccount except) {
 		List<FairShares.Claim> claims = new ArrayList<>(this.accounts.size());
 		for (EntryAccount account : this.accounts) {
-			long wanted = (account != except) ? account.wanted().kvTokens() - account.olderKv(this.collection) : 0;
+			long wanted = (account != except)
+					? account.wanted().kvTokens() - account.kvBeforeCollection(this.collection) : 0;
 			claims.add(new FairShares.Claim(Math.max(0, wanted), account.waitingSince()));
 		}
 		return claims;
@@ -123,7 +124,7 @@
 	}
 
 	private long neededForNext(EntryAccount account) {
-		return account.inUse().kvTokens() + account.demand().kvLargest() - account.olderKv(this.collection);
+		return account.inUse().kvTokens() + account.demand().kvLargest() - account.kvBeforeCollection(this.collection);
 	}
 
 	private static long[] divideWithSurplus(long available, List<FairShares.Claim> claims) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointState.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/EndpointState.java
@@ -83,8 +83,8 @@
 	}
 
 	/**
-	 * Returns the pacing of demands that are sent outside their period.
-	 * @return the pacing
+	 * Returns the back-off of demands that are sent outside their period.
+	 * @return the back-off
 	 */
 	SendBackoff urgentDemands() {
 		return this.urgentDemands;
@@ -215,7 +215,7 @@
 		return new DemandItem(this.entry.name(), this.shard.code(), this.held.epoch(), this.held.number(), live.slots(),
 				live.kvTokens(), inUse.slots(), inUse.kvTokens(), wanted.slots(), wanted.kvTokens(),
 				this.unmet.largestKv(now), leaving(), GrantedReport.modelsHash(this.report), this.use.collection(),
-				this.use.olderKv());
+				this.use.kvBeforeCollection());
 	}
 
 	Candidate candidate(long now, int sharing) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/FirstAnswerTimer.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/FirstAnswerTimer.java
@@ -13,13 +13,13 @@
 
 	private final Scheduler scheduler;
 
-	private final Runnable onRoom;
+	private final Runnable onCapacityAvailable;
 
 	private boolean awaiting;
 
-	FirstAnswerTimer(Scheduler scheduler, Runnable onRoom) {
+	FirstAnswerTimer(Scheduler scheduler, Runnable onCapacityAvailable) {
 		this.scheduler = scheduler;
-		this.onRoom = onRoom;
+		this.onCapacityAvailable = onCapacityAvailable;
 	}
 
 	void await() {
@@ -31,7 +31,7 @@
 
 	private void expired() {
 		this.awaiting = false;
-		this.onRoom.run();
+		this.onCapacityAvailable.run();
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/GrantReceiver.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/GrantReceiver.java
@@ -29,15 +29,16 @@
 
 	private final DemandSender demands;
 
-	private final Runnable onRoom;
+	private final Runnable onCapacityAvailable;
 
 	private final Counter ignored;
 
-	GrantReceiver(Clock clock, EndpointDirectory directory, DemandSender demands, Runnable onRoom, Counter ignored) {
+	GrantReceiver(Clock clock, EndpointDirectory directory, DemandSender demands, Runnable onCapacityAvailable,
+			Counter ignored) {
 		this.clock = clock;
 		this.directory = directory;
 		this.demands = demands;
-		this.onRoom = onRoom;
+		this.onCapacityAvailable = onCapacityAvailable;
 		this.ignored = ignored;
 	}
 
@@ -56,7 +57,7 @@
 			}
 		}
 		if (grown) {
-			this.onRoom.run();
+			this.onCapacityAvailable.run();
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/GrantedEndpointPool.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/GrantedEndpointPool.java
@@ -61,7 +61,7 @@
 
 	private final Counter refusedPermits;
 
-	private final List<Runnable> roomListeners = new ArrayList<>();
+	private final List<Runnable> capacityListeners = new ArrayList<>();
 
 	private Cancellable demandTask;
 
@@ -77,11 +77,11 @@
 				builder.learners, this::endpointAdded);
 		this.demands = new DemandSender(this.scheduler, this.peers, builder.settings, this.directory::ownerOf,
 				metrics.counter("endpoint.pool.demands"));
-		this.grants = new GrantReceiver(this.scheduler, this.directory, this.demands, this::notifyRoomListeners,
+		this.grants = new GrantReceiver(this.scheduler, this.directory, this.demands, this::notifyCapacityListeners,
 				metrics.counter("endpoint.pool.grants.ignored"));
 		this.cycle = new DemandCycle(this.scheduler, this.directory, this.demands, this.membership, builder.settings);
 		this.waiting = new WaitingRequests(this.scheduler, this.directory, this.demands);
-		this.firstAnswerTimer = new FirstAnswerTimer(this.scheduler, this::notifyRoomListeners);
+		this.firstAnswerTimer = new FirstAnswerTimer(this.scheduler, this::notifyCapacityListeners);
 		this.refusedPermits = metrics.counter("endpoint.pool.permits.refused");
 		metrics.gauge("endpoint.pool.endpoints", () -> () -> this.directory.all().size());
 	}
@@ -143,12 +143,12 @@
 			return Optional.empty();
 		}
 		state.unmet().clear();
-		return Optional.of(new EndpointPermit(state, amount, promptTokens, now, this::notifyRoomListeners));
+		return Optional.of(new EndpointPermit(state, amount, promptTokens, now, this::notifyCapacityListeners));
 	}
 
 	@Override
 	public void requestCapacity(ServiceName service, ModelName model, long kvTokens) {
-		this.waiting.requestRoom(service, model, kvTokens);
+		this.waiting.requestCapacity(service, model, kvTokens);
 	}
 
 	@Override
@@ -166,7 +166,7 @@
 
 	@Override
 	public void onCapacityAvailable(Runnable listener) {
-		this.roomListeners.add(listener);
+		this.capacityListeners.add(listener);
 	}
 
 	@Override
@@ -210,7 +210,7 @@
 		// The owner's configuration may be older. The demand informs the owner, which
 		// then notifies the other entries.
 		this.demands.send(leaving);
-		notifyRoomListeners();
+		notifyCapacityListeners();
 	}
 
 	private void endpointAdded(EndpointState state) {
@@ -226,8 +226,8 @@
 		}
 	}
 
-	private void notifyRoomListeners() {
-		this.roomListeners.forEach(Runnable::run);
+	private void notifyCapacityListeners() {
+		this.capacityListeners.forEach(Runnable::run);
 	}
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/LocalUse.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/LocalUse.java
@@ -33,7 +33,7 @@
 
 	private int generation;
 
-	private long olderKv;
+	private long kvBeforeCollection;
 
 	Amount inUse() {
 		return this.inUse;
@@ -62,8 +62,8 @@
 	 * announced.
 	 * @return the tokens
 	 */
-	long olderKv() {
-		return this.olderKv;
+	long kvBeforeCollection() {
+		return this.kvBeforeCollection;
 	}
 
 	/**
@@ -74,7 +74,7 @@
 		if (number != this.collection) {
 			this.collection = number;
 			this.generation++;
-			this.olderKv = (number != 0) ? this.inUse.kvTokens() : 0;
+			this.kvBeforeCollection = (number != 0) ? this.inUse.kvTokens() : 0;
 		}
 	}
 
@@ -124,7 +124,7 @@
 	void end(Amount amount, int begunIn) {
 		this.inUse = this.inUse.minus(amount);
 		if (begunIn != this.generation && this.collection != 0) {
-			this.olderKv -= amount.kvTokens();
+			this.kvBeforeCollection -= amount.kvTokens();
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/WaitingRequests.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/pool/WaitingRequests.java
@@ -31,7 +31,7 @@
 		this.demands = demands;
 	}
 
-	void requestRoom(ServiceName service, ModelName model, long kvTokens) {
+	void requestCapacity(ServiceName service, ModelName model, long kvTokens) {
 		long now = this.clock.nanos();
 		List<EndpointState> capable = new ArrayList<>();
 		for (EndpointState state : this.directory.use(service)) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetDirectory.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetDirectory.java
@@ -24,9 +24,9 @@
  *
  * <p>
  * In a small fleet these are all daemons, since all of them send to the same endpoints
- * and need each other's load there. In a large one they are those that membership wants,
- * and relays are connected to each other and to the other daemons of their data centre.
- * Confined to the scheduler's thread.
+ * and need each other's load there. In a large one they are those that membership
+ * desires, and relays are connected to each other and to the other daemons of their data
+ * centre. Confined to the scheduler's thread.
  */
 final class FleetDirectory implements PeerDirectory, LoadTopology, UpdateRoutes, LimitHolders {
 
@@ -46,18 +46,18 @@
 
 	@Override
 	public Set<VmId> desiredPeers() {
-		Set<VmId> wanted = sortedByName(this.membership.directory().desiredPeers());
+		Set<VmId> desired = sortedByName(this.membership.directory().desiredPeers());
 		if (flat()) {
-			notDead().forEach((member) -> wanted.add(member.vm()));
+			notDead().forEach((member) -> desired.add(member.vm()));
 		}
 		else {
-			wanted.addAll(this.membership.relays());
+			desired.addAll(this.membership.relays());
 			if (isRelay()) {
-				wanted.addAll(members());
+				desired.addAll(members());
 			}
 		}
-		wanted.remove(this.membership.self().vm());
-		return wanted;
+		desired.remove(this.membership.self().vm());
+		return desired;
 	}
 
 	@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Topology.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/membership/Topology.java
@@ -71,21 +71,21 @@
 
 	@Override
 	public Set<VmId> desiredPeers() {
-		Set<VmId> wanted = new TreeSet<>(BY_NAME);
+		Set<VmId> desired = new TreeSet<>(BY_NAME);
 		List<MemberEntry> present = this.table.present(this.localDataCentre);
 		if (present.size() <= this.meshLimit) {
-			present.forEach((entry) -> wanted.add(entry.vm()));
+			present.forEach((entry) -> desired.add(entry.vm()));
 		}
 		else {
-			wanted.addAll(neighbours().successors());
-			wanted.addAll(neighbours().predecessors());
+			desired.addAll(neighbours().successors());
+			desired.addAll(neighbours().predecessors());
 		}
 		if (this.relays.isRelay()) {
-			wanted.addAll(this.relays.remote());
-			wanted.addAll(dialCandidates());
+			desired.addAll(this.relays.remote());
+			desired.addAll(dialCandidates());
 		}
-		wanted.remove(this.self);
-		return wanted;
+		desired.remove(this.self);
+		return desired;
 	}
 
 	@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/node/NodeStatus.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/node/NodeStatus.java
@@ -96,10 +96,10 @@
 	}
 
 	private DaemonStatus daemon(Member member, Optional<DaemonReport> report, Optional<HoldersView.Holder> holder) {
-		long silent = this.node.membership().history().unresponsiveFor(member.vm()).toMillis();
+		long unresponsiveMillis = this.node.membership().history().unresponsiveFor(member.vm()).toMillis();
 		long version = report.map(DaemonReport::version).or(() -> holder.map(HoldersView.Holder::version)).orElse(0L);
-		return new DaemonStatus(member.vm(), member.dataCentre(), member.httpAddress(), member.state(), silent, version,
-				report);
+		return new DaemonStatus(member.vm(), member.dataCentre(), member.httpAddress(), member.state(),
+				unresponsiveMillis, version, report);
 	}
 
 	private List<EndpointStatus> endpoints(Configuration current) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerConnections.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerConnections.java
@@ -17,9 +17,9 @@
  * Decides which connections to open, to use and to close.
  *
  * <p>
- * Of a pair of VMs that want each other, the one with the smaller name dials; the other
- * dials only if none comes within a grace time or if it has something to send. A
- * connection can go silent for good without an error while new ones work. It shows as a
+ * Of two VMs that are desired peers of each other, the one with the smaller name dials;
+ * the other dials only if none comes within a grace time or if it has something to send.
+ * A connection can go silent for good without an error while new ones work. It shows as a
  * link on which not even heartbeats are heard; a second link is then opened beside it,
  * and only once that one is proven is the silent one closed. Confined to the scheduler's
  * thread; deterministic given the clock and the random generator.
@@ -72,19 +72,19 @@
 	void tick() {
 		long now = this.clock.nanos();
 		forgiveOwnPause(now);
-		Set<VmId> wanted = this.directory.desiredPeers();
-		for (VmId vm : wanted) {
+		Set<VmId> desired = this.directory.desiredPeers();
+		for (VmId vm : desired) {
 			if (!vm.equals(this.self)) {
 				this.states.computeIfAbsent(vm, (key) -> new PeerState(key, now));
 			}
 		}
 		for (PeerState state : new ArrayList<>(this.states.values())) {
-			boolean isWanted = wanted.contains(state.vm());
-			closeUseless(state, isWanted, now);
+			boolean isDesired = desired.contains(state.vm());
+			closeUseless(state, isDesired, now);
 			state.ping(this.ping, this.times.heartbeat().toNanos(), now);
 			expirePending(state, now);
-			dialIfNeeded(state, isWanted, now);
-			forgetIfUnused(state, isWanted, now);
+			dialIfNeeded(state, isDesired, now);
+			forgetIfUnused(state, isDesired, now);
 		}
 	}
 
@@ -250,12 +250,12 @@
 		return true;
 	}
 
-	private void dialIfNeeded(PeerState state, boolean wanted, long now) {
+	private void dialIfNeeded(PeerState state, boolean desired, long now) {
 		if (!state.mayDial(now)) {
 			return;
 		}
 		boolean replacing = !state.links().isEmpty();
-		if (replacing ? allSilent(state, now) : (state.hasPending() || (wanted && ourTurn(state, now)))) {
+		if (replacing ? allSilent(state, now) : (state.hasPending() || (desired && ourTurn(state, now)))) {
 			this.directory.address(state.vm()).ifPresent((address) -> {
 				state.dialStarted();
 				this.dialler.dial(state.vm(), address, replacing);
@@ -275,10 +275,10 @@
 		return allSilent;
 	}
 
-	private void closeUseless(PeerState state, boolean wanted, long now) {
+	private void closeUseless(PeerState state, boolean desired, long now) {
 		long deadBefore = now - this.times.giveUp().toNanos();
 		long idleBefore = now - this.times.idle().toNanos();
-		closeAll(state, state.useless(deadBefore, idleBefore, wanted), now);
+		closeAll(state, state.useless(deadBefore, idleBefore, desired), now);
 	}
 
 	private void closeAll(PeerState state, List<TrackedLink> links, long now) {
@@ -294,8 +294,8 @@
 		}
 	}
 
-	private void forgetIfUnused(PeerState state, boolean wanted, long now) {
-		boolean inUse = wanted || !state.links().isEmpty() || state.hasPending() || state.dialling();
+	private void forgetIfUnused(PeerState state, boolean desired, long now) {
+		boolean inUse = desired || !state.links().isEmpty() || state.hasPending() || state.dialling();
 		boolean backoffMatters = state.failures() > 0
 				&& now - state.nextDialAt() < this.times.longestBackoff().toNanos();
 		if (!inUse && !backoffMatters) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerState.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerState.java
@@ -107,12 +107,12 @@
 	 * The links to close.
 	 * @param deadBefore links heard last before this are given up
 	 * @param idleBefore links used last before this are idle
-	 * @param wanted whether idle links are kept
+	 * @param desired whether idle links are kept
 	 * @return the links
 	 */
-	List<TrackedLink> useless(long deadBefore, long idleBefore, boolean wanted) {
+	List<TrackedLink> useless(long deadBefore, long idleBefore, boolean desired) {
 		return this.links.stream()
-			.filter((link) -> link.silent(deadBefore) || (!wanted && link.idle(idleBefore)))
+			.filter((link) -> link.silent(deadBefore) || (!desired && link.idle(idleBefore)))
 			.toList();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerTimes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerTimes.java
@@ -12,7 +12,8 @@
  * @param silence a connection on which nothing was heard for this long is suspect
  * @param giveUp a connection on which nothing was heard for this long is closed
  * @param dialGrace how long the VM with the greater name waits for the other to dial
- * @param idle an unwanted connection without messages for this long is closed
+ * @param idle a connection without messages for this long is closed unless its peer is
+ * desired
  * @param pending how long messages wait for a connection that is being opened
  * @param shortestBackoff the pause after the first failed dial
  * @param longestBackoff the longest pause between dials
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TrackedLink.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TrackedLink.java
@@ -78,7 +78,7 @@
 	/**
 	 * Whether this side opened the link and nothing has used it for long.
 	 * @param idleBefore links used last before this are idle
-	 * @return true if this side should close it unless it is wanted
+	 * @return true if this side should close it unless the peer is desired
 	 */
 	boolean idle(long idleBefore) {
 		return this.link.dialled() && this.usedAt - idleBefore < 0;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/Dispatcher.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/Dispatcher.java
@@ -25,16 +25,16 @@
  * Brings admitted requests to endpoints, in the order that admission gives.
  *
  * <p>
- * Many events can make room; each only asks for a pass, and one pass serves all that were
- * asked for since. A pass evaluates a bounded number of waiting requests. Invariant: a
- * request is started with a permit or a reservation in its placement. Confined to the
- * scheduler's thread.
+ * Many events can make capacity available; each only asks for a pass, and one pass serves
+ * all that were asked for since. A pass evaluates a bounded number of waiting requests.
+ * Invariant: a request is started with a permit or a reservation in its placement.
+ * Confined to the scheduler's thread.
  */
 final class Dispatcher {
 
 	private static final Duration NO_ENDPOINT_PAUSE = Duration.ofSeconds(2);
 
-	private static final Duration WANTED_AGAIN = Duration.ofSeconds(1);
+	private static final Duration CAPACITY_REQUEST_INTERVAL = Duration.ofSeconds(1);
 
 	private final Scheduler scheduler;
 
@@ -69,7 +69,7 @@
 		this.records = records;
 		this.starter = starter;
 		this.pool.onCapacityAvailable(this::askForPass);
-		this.scheduler.repeat(WANTED_AGAIN, this::askAgainIfWaiting);
+		this.scheduler.repeat(CAPACITY_REQUEST_INTERVAL, this::askAgainIfWaiting);
 	}
 
 	/**
@@ -185,7 +185,7 @@
 			return placeGroup(record);
 		}
 		if (!pass.worthTrying(record)) {
-			wanted(record);
+			requestCapacity(record);
 			return false;
 		}
 		List<Candidate> candidates = candidates(record, pass);
@@ -198,20 +198,20 @@
 			reserve(record);
 		}
 		else {
-			wanted(record);
+			requestCapacity(record);
 			pass.noRoom(record);
 		}
 		return false;
 	}
 
 	/**
-	 * Tells the pool, at most once a second, that a request waits for room. Without this
-	 * an entry whose grants are too small for a long prompt would never get larger ones,
-	 * and the prompt would wait until its deadline beside idle engines.
+	 * Requests capacity from the pool for a waiting request, at most once a second.
+	 * Without this an entry whose grants are too small for a long prompt would never get
+	 * larger ones, and the prompt would wait until its deadline beside idle engines.
 	 * @param record the request
 	 */
-	private void wanted(RequestRecord record) {
-		if (record.placement().mayMention(this.scheduler.nanos(), WANTED_AGAIN)) {
+	private void requestCapacity(RequestRecord record) {
+		if (record.placement().mayMention(this.scheduler.nanos(), CAPACITY_REQUEST_INTERVAL)) {
 			this.pool.requestCapacity(record.service(), record.work().model(), kvTokens(record));
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/Place.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/Place.java
@@ -16,7 +16,7 @@
  */
 record Place(EndpointEntry endpoint, List<Permit> permits, List<String> holds, Duration predictedFirstToken) {
 
-	void firstToken() {
+	void firstTokenReceived() {
 		this.permits.forEach(Permit::firstTokenReceived);
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/PlacementPlanner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/PlacementPlanner.java
@@ -66,9 +66,10 @@
 			throw tooLarge(needed, "model '" + generation.request().model() + "' takes " + context);
 		}
 		if (Sizes.exceedsEach(needed, candidates)) {
-			long largest = this.reservations.largestGroupTokens(record.service(), generation.request().model());
-			if (largest > 0 && needed > largest) {
-				throw tooLarge(needed, "the engines of service '" + record.service() + "' take " + largest);
+			long largestGroupTokens = this.reservations.largestGroupTokens(record.service(),
+					generation.request().model());
+			if (largestGroupTokens > 0 && needed > largestGroupTokens) {
+				throw tooLarge(needed, "the engines of service '" + record.service() + "' take " + largestGroupTokens);
 			}
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/PredictivePolicy.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/PredictivePolicy.java
@@ -130,11 +130,11 @@
 		/**
 		 * Sets the source of observations, from which the policy estimates whether the
 		 * endpoints apply priorities.
-		 * @param learner the daemon's speed learner
+		 * @param estimator the daemon's speed estimator
 		 * @return this builder
 		 */
-		public Builder speeds(SpeedEstimator learner) {
-			this.speeds = learner;
+		public Builder speeds(SpeedEstimator estimator) {
+			this.speeds = estimator;
 			return this;
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedEstimator.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedEstimator.java
@@ -76,8 +76,8 @@
 			return;
 		}
 		EndpointSpeeds known = this.speeds.computeIfAbsent(endpoint, (id) -> new EndpointSpeeds());
-		learnStep(known, observation);
-		learnPrefill(known, observation);
+		updateStep(known, observation);
+		updatePrefill(known, observation);
 	}
 
 	/**
@@ -153,7 +153,7 @@
 		this.speeds.keySet().retainAll(endpoints);
 	}
 
-	private static void learnStep(EndpointSpeeds known, Observation observation) {
+	private static void updateStep(EndpointSpeeds known, Observation observation) {
 		Duration streaming = observation.streaming();
 		if (streaming == null || observation.answerTokens() < 2) {
 			return;
@@ -166,7 +166,7 @@
 		known.stepSeconds *= Math.exp(STEP_GAIN * Math.log(bounded / known.stepSeconds));
 	}
 
-	private void learnPrefill(EndpointSpeeds known, Observation observation) {
+	private void updatePrefill(EndpointSpeeds known, Observation observation) {
 		Duration firstToken = observation.firstToken();
 		if (firstToken == null || observation.promptTokens() < MIN_PROMPT_TOKENS) {
 			return;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/routing/SpeedExchange.java
@@ -20,7 +20,7 @@
  * sends long prompts to endpoints to which another sends short ones. The symptom is a p95
  * time to first token of short prompts of seconds on engines of unequal speed. With the
  * measurements of the others, all daemons use about the same speeds, and a new daemon
- * doesn't have to learn them alone. Invariant: the digest of a daemon that sends no
+ * doesn't have to estimate them alone. Invariant: the digest of a daemon that sends no
  * further ones is removed after a fixed time. Confined to the scheduler's thread.
  */
 public final class SpeedExchange {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/MemoryRecoveryTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/MemoryRecoveryTests.java
@@ -35,7 +35,7 @@
 		reserve(holder);
 		this.fleet.advance(fault.delay);
 		fault.inject(this, holder);
-		this.fleet.advance(fault.freedWithin);
+		this.fleet.advance(fault.maxRetention);
 		Truth.assertThat(heldKv()).isEqualTo(0);
 		this.events.clear();
 		this.fleet.advance(Duration.ofSeconds(4));
@@ -153,11 +153,11 @@
 
 		private final Duration delay;
 
-		private final Duration freedWithin;
+		private final Duration maxRetention;
 
-		Fault(Duration delay, Duration freedWithin) {
+		Fault(Duration delay, Duration maxRetention) {
 			this.delay = delay;
-			this.freedWithin = freedWithin;
+			this.maxRetention = maxRetention;
 		}
 
 		abstract void inject(MemoryRecoveryTests test, String holder);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakePool.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakePool.java
@@ -24,7 +24,7 @@
 
 	final List<Observation> observations = new ArrayList<>();
 
-	final List<Long> wanted = new ArrayList<>();
+	final List<Long> requestedCapacity = new ArrayList<>();
 
 	final List<Duration> overdue = new ArrayList<>();
 
@@ -63,7 +63,7 @@
 
 	@Override
 	public void requestCapacity(ServiceName service, ModelName model, long kvTokens) {
-		this.wanted.add(kvTokens);
+		this.requestedCapacity.add(kvTokens);
 	}
 
 	@Override
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/RequestLifecycleTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/RequestLifecycleTests.java
@@ -136,12 +136,12 @@
 		this.fixture.pool.slots = 0;
 		this.service.generate(RequestFixture.quote(null, true), this.sink);
 		this.fixture.run();
-		Truth.assertThat(this.fixture.pool.wanted).containsExactly(90_100L);
+		Truth.assertThat(this.fixture.pool.requestedCapacity).containsExactly(90_100L);
 		this.fixture.pool.slots(0);
 		this.fixture.run();
-		Truth.assertThat(this.fixture.pool.wanted).hasSize(1);
+		Truth.assertThat(this.fixture.pool.requestedCapacity).hasSize(1);
 		this.fixture.advance(Duration.ofSeconds(10));
-		Truth.assertThat(this.fixture.pool.wanted.size()).isIn(Range.closed(10, 12));
+		Truth.assertThat(this.fixture.pool.requestedCapacity.size()).isIn(Range.closed(10, 12));
 	}
 
 	@Test
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/time/PausableScheduler.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/time/PausableScheduler.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * One daemon's share of a manual clock, which can stand still and be ended. What falls
- * due meanwhile runs when it goes on. Confined to the test's thread.
+ * One daemon's share of a manual clock, which can be paused and can crash. Tasks that
+ * fall due during a pause run when it is resumed. Confined to the test's thread.
  */
 public final class PausableScheduler implements Scheduler {
 
@@ -17,7 +17,7 @@
 
 	private boolean paused;
 
-	private boolean ended;
+	private boolean crashed;
 
 	public PausableScheduler(ManualScheduler clock) {
 		this.clock = clock;
@@ -35,7 +35,7 @@
 	}
 
 	public void crash() {
-		this.ended = true;
+		this.crashed = true;
 	}
 
 	@Override
@@ -62,7 +62,7 @@
 		if (this.paused) {
 			this.held.add(task);
 		}
-		else if (!this.ended) {
+		else if (!this.crashed) {
 			task.run();
 		}
 	}
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/FaultRun.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/FaultRun.java
@@ -34,7 +34,7 @@
 
 	private static final Duration MAX_CALLER_WAIT = Duration.ofSeconds(40);
 
-	private static final Duration MEMORY_FREE_WITHIN = HoldTimes.MAX_RETENTION;
+	private static final Duration MAX_MEMORY_RETENTION = HoldTimes.MAX_RETENTION;
 
 	private static final Duration SETTLING_TIME = Duration.ofSeconds(8);
 
@@ -150,7 +150,7 @@
 
 	private void waitForMemory() {
 		Duration waited = Duration.ZERO;
-		while (this.fleet.kvUsed() > 0 && waited.compareTo(MEMORY_FREE_WITHIN) <= 0) {
+		while (this.fleet.kvUsed() > 0 && waited.compareTo(MAX_MEMORY_RETENTION) <= 0) {
 			this.fleet.scheduler().advance(STEP);
 			waited = waited.plus(STEP);
 		}
