--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/HeldLease.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/HeldLease.java
@@ -3,12 +3,13 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * One tenure of a lease.
+ * One tenure of a lease by this daemon.
  *
  * <p>
- * Invariant: once {@link #held()} was false it is never true again, since the seeker ends
- * a lapsed lease before it looks at any reply; a lease that is taken anew has a new
- * number and a new object. Confined to the scheduler's thread.
+ * Invariant: once {@link #held()} has returned false it never returns true again, since
+ * {@link LeaseAcquirer} ends an expired lease before it processes any reply; a lease that
+ * is acquired again has a new number and a new instance of this class. Confined to the
+ * scheduler's thread.
  */
 final class HeldLease implements Lease {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/Lease.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/Lease.java
@@ -1,7 +1,7 @@
 package org.bramleyscale.internal.lease;
 
 /**
- * A lease as its holder sees it.
+ * A lease held by this daemon, as seen by the job that it protects.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -15,14 +15,15 @@
 	String name();
 
 	/**
-	 * The fencing number; greater for each later holder.
+	 * The fencing number, which is greater for each later tenure.
 	 * @return the number
 	 */
 	long number();
 
 	/**
-	 * Whether the lease is certainly still held, by the monotonic clock and with a
-	 * margin. Must be asked just before each act under the lease.
+	 * Whether the lease is certainly still held, by the monotonic clock and less the
+	 * safety margin. Must be checked immediately before each action that the lease
+	 * protects.
 	 * @return true if the holder may act
 	 */
 	boolean held();
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseSeeker.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseAcquirer.java
@@ -12,20 +12,21 @@
 import org.jboss.logging.Logger;
 
 /**
- * Seeks, renews and gives back one lease.
+ * Acquires, renews and releases one lease.
  *
  * <p>
- * Invariants: at most one call to the platform is under way; validity counts from before
- * the call that renewed the lease was sent, by the monotonic clock; another holder's
- * lease is taken over only after this daemon itself saw the same object unchanged for the
- * whole duration and margin, and only if it is still unchanged when the write takes
- * effect. Confined to the scheduler's thread.
+ * Invariants: at most one call to the platform is in progress, apart from the writes that
+ * release the lease; validity starts just before the call that acquired or renewed the
+ * lease is sent, by the monotonic clock; another holder's lease is taken over only after
+ * this daemon itself has observed the same object unchanged for the duration plus the
+ * margin, and only if it is still unchanged when the write takes effect. Confined to the
+ * scheduler's thread.
  */
-final class LeaseSeeker {
+final class LeaseAcquirer {
 
-	private static final Logger logger = Logger.getLogger(LeaseSeeker.class);
+	private static final Logger logger = Logger.getLogger(LeaseAcquirer.class);
 
-	private static final Cancellable NOTHING = () -> {
+	private static final Cancellable NOT_SCHEDULED = () -> {
 	};
 
 	private final LeaseContext context;
@@ -36,24 +37,24 @@
 
 	private HeldLease held;
 
-	private Sighting sighting;
+	private ObservedLease observed;
 
-	private Cancellable nextStep = NOTHING;
+	private Cancellable nextStep = NOT_SCHEDULED;
 
-	private Cancellable expiry = NOTHING;
+	private Cancellable expiry = NOT_SCHEDULED;
 
 	private long lastNumber;
 
 	private boolean stopped;
 
-	LeaseSeeker(LeaseContext context, String name, LeaseListener listener) {
+	LeaseAcquirer(LeaseContext context, String name, LeaseListener listener) {
 		this.context = context;
 		this.object = new LeaseObject(context, name);
 		this.listener = listener;
 	}
 
 	void start() {
-		next(Duration.ZERO);
+		scheduleStep(Duration.ZERO);
 	}
 
 	void stop() {
@@ -62,7 +63,7 @@
 		HeldLease lease = this.held;
 		if (lease != null) {
 			lose();
-			this.object.giveBack(lease.number(), lease.version());
+			this.object.release(lease.number(), lease.version());
 		}
 	}
 
@@ -76,181 +77,181 @@
 			long remaining = Duration.ofNanos(this.held.remainingNanos()).toMillis();
 			return new LeaseView(name, this.context.self().toString(), this.held.number(), remaining);
 		}
-		String holder = (this.sighting != null) ? this.sighting.holder() : "unknown";
+		String holder = (this.observed != null) ? this.observed.holder() : "unknown";
 		return new LeaseView(name, holder, 0, 0);
 	}
 
-	private void next(Duration delay) {
+	private void scheduleStep(Duration delay) {
 		if (!this.stopped) {
 			this.nextStep = this.context.scheduler().schedule(delay, this::step);
 		}
 	}
 
 	private void step() {
-		loseIfLapsed();
+		loseIfExpired();
 		if (this.held != null) {
 			renew(this.held);
 		}
 		else {
-			look();
+			read();
 		}
 	}
 
 	private void renew(HeldLease lease) {
-		Attempt attempt = this.object.attempt(lease.number(), lease.version());
+		Attempt attempt = this.object.prepare(lease.number(), lease.version());
 		write(attempt, (stored) -> confirm(lease, stored.version(), attempt.sentAt()));
 	}
 
-	private void take(long expected) {
+	private void acquire(long expected) {
 		if (this.stopped) {
 			return;
 		}
-		Attempt attempt = this.object.attempt(expected + 1, expected);
-		write(attempt, (stored) -> begin(attempt.number(), stored.version(), attempt.sentAt()));
+		Attempt attempt = this.object.prepare(expected + 1, expected);
+		write(attempt, (stored) -> beginTenure(attempt.number(), stored.version(), attempt.sentAt()));
 	}
 
-	private void look() {
+	private void read() {
 		this.object.read().whenComplete((found, failure) -> {
-			loseIfLapsed();
+			loseIfExpired();
 			if (failure != null) {
-				next(this.context.settings().retryEvery());
+				scheduleStep(this.context.settings().retryEvery());
 			}
 			else if (!this.stopped) {
-				seen(found);
+				handleRead(found);
 			}
 		});
 	}
 
-	private void seen(Optional<StoredObject> found) {
+	private void handleRead(Optional<StoredObject> found) {
 		if (found.isEmpty()) {
 			lose();
-			take(0);
+			acquire(0);
 			return;
 		}
 		long version = found.get().version();
 		Optional<LeaseValue> value = LeaseValue.decode(found.get().value());
 		if (value.isPresent() && value.get().holder().equals(this.context.self().toString())) {
-			seenOwn(version, value.get());
+			handleOwn(version, value.get());
 		}
 		else {
 			lose();
-			seenOther(version, value);
+			handleOther(version, value);
 		}
 	}
 
-	private void seenOwn(long version, LeaseValue value) {
+	private void handleOwn(long version, LeaseValue value) {
 		Optional<Long> sentAt = this.object.sentAt(value.nonce());
 		if (this.held == null) {
-			seenOwnUnheld(version, value, sentAt);
+			handleOwnNotHeld(version, value, sentAt);
 		}
 		else if (this.held.number() != value.number()) {
 			lose();
-			take(version);
+			acquire(version);
 		}
 		else if (sentAt.isPresent()) {
-			this.object.settled();
+			this.object.clearUnknownOutcomes();
 			confirm(this.held, version, sentAt.get());
 		}
 		else {
-			next(this.context.settings().retryEvery());
+			scheduleStep(this.context.settings().retryEvery());
 		}
 	}
 
-	private void seenOwnUnheld(long version, LeaseValue value, Optional<Long> sentAt) {
-		this.object.settled();
-		// A renewal that took effect late, after the lease had lapsed here, isn't a new
-		// tenure: its number was used before.
+	private void handleOwnNotHeld(long version, LeaseValue value, Optional<Long> sentAt) {
+		this.object.clearUnknownOutcomes();
+		// A renewal that took effect after the lease had expired here isn't a new tenure:
+		// its number was used before.
 		boolean newTenure = !value.released() && value.number() > this.lastNumber;
 		if (newTenure && sentAt.isPresent() && this.context.remainingNanos(sentAt.get()) > 0) {
-			begin(value.number(), version, sentAt.get());
+			beginTenure(value.number(), version, sentAt.get());
 		}
 		else {
-			// It lapsed here or was given back. No wait is needed: nobody else held it
-			// since.
-			take(version);
+			// The lease expired here or was released. No wait is needed, since no other
+			// daemon has held it in the meantime.
+			acquire(version);
 		}
 	}
 
-	private void seenOther(long version, Optional<LeaseValue> value) {
+	private void handleOther(long version, Optional<LeaseValue> value) {
 		if (value.isPresent() && value.get().released()) {
-			take(version);
+			acquire(version);
 			return;
 		}
 		long now = this.context.scheduler().nanos();
-		Sighting latest = new Sighting(version, value, now);
-		if (this.sighting == null || !this.sighting.same(latest)) {
-			this.sighting = latest;
+		ObservedLease current = new ObservedLease(version, value, now);
+		if (this.observed == null || !this.observed.sameAs(current)) {
+			this.observed = current;
 		}
 		Duration duration = value.map(LeaseValue::duration).orElse(this.context.settings().duration());
 		Duration wait = duration.plus(this.context.settings().margin());
-		long remaining = this.sighting.firstSeen() + wait.toNanos() - now;
+		long remaining = this.observed.firstSeen() + wait.toNanos() - now;
 		if (remaining <= 0) {
-			take(version);
+			acquire(version);
 		}
 		else {
-			long pause = Math.min(remaining, this.context.readPause().toNanos());
-			next(Duration.ofNanos(pause));
+			long delay = Math.min(remaining, this.context.readDelay().toNanos());
+			scheduleStep(Duration.ofNanos(delay));
 		}
 	}
 
-	private void settle(Attempt attempt, Throwable failure) {
+	private void handleFailure(Attempt attempt, Throwable failure) {
 		PlatformException.Kind kind = (failure instanceof PlatformException platform) ? platform.kind()
 				: PlatformException.Kind.UNKNOWN_OUTCOME;
 		if (kind == PlatformException.Kind.CONFLICT) {
 			this.context.count("conflicts");
 		}
 		if (kind == PlatformException.Kind.UNKNOWN_OUTCOME) {
-			this.object.unsettled(attempt);
+			this.object.recordUnknownOutcome(attempt);
 		}
-		boolean urgent = this.held != null && kind == PlatformException.Kind.CONFLICT;
-		if (urgent || kind == PlatformException.Kind.UNKNOWN_OUTCOME) {
-			look();
+		boolean conflictWhileHeld = this.held != null && kind == PlatformException.Kind.CONFLICT;
+		if (conflictWhileHeld || kind == PlatformException.Kind.UNKNOWN_OUTCOME) {
+			read();
 		}
 		else {
-			next(this.context.settings().retryEvery());
+			scheduleStep(this.context.settings().retryEvery());
 		}
 	}
 
 	private void confirm(HeldLease lease, long version, long sentAt) {
 		if (this.held != lease) {
-			next(Duration.ZERO);
+			scheduleStep(Duration.ZERO);
 			return;
 		}
 		lease.renewed(version, sentAt + this.context.settings().validity().toNanos());
-		awaitExpiry(lease);
-		nextRenewal(sentAt);
+		scheduleExpiry(lease);
+		scheduleRenewal(sentAt);
 	}
 
-	private void begin(long number, long version, long sentAt) {
+	private void beginTenure(long number, long version, long sentAt) {
 		long remaining = this.context.remainingNanos(sentAt);
 		if (remaining <= 0) {
-			next(this.context.settings().retryEvery());
+			scheduleStep(this.context.settings().retryEvery());
 			return;
 		}
 		long validUntil = this.context.scheduler().nanos() + remaining;
 		HeldLease lease = new HeldLease(this.context.scheduler(), this.object.name(), number, version, validUntil);
 		this.held = lease;
 		this.lastNumber = number;
-		this.sighting = null;
+		this.observed = null;
 		this.context.count("taken");
-		logger.infof("Took lease %s", lease);
-		awaitExpiry(lease);
-		nextRenewal(sentAt);
+		logger.infof("Acquired lease %s", lease);
+		scheduleExpiry(lease);
+		scheduleRenewal(sentAt);
 		this.listener.taken(lease);
 	}
 
-	private void awaitExpiry(HeldLease lease) {
+	private void scheduleExpiry(HeldLease lease) {
 		this.expiry.cancel();
 		Duration remaining = Duration.ofNanos(lease.remainingNanos());
-		this.expiry = this.context.scheduler().schedule(remaining, this::loseIfLapsed);
+		this.expiry = this.context.scheduler().schedule(remaining, this::loseIfExpired);
 	}
 
-	private void nextRenewal(long sentAt) {
+	private void scheduleRenewal(long sentAt) {
 		long sinceSent = this.context.scheduler().nanos() - sentAt;
-		next(this.context.settings().renewEvery().minusNanos(sinceSent));
+		scheduleStep(this.context.settings().renewEvery().minusNanos(sinceSent));
 	}
 
-	private void loseIfLapsed() {
+	private void loseIfExpired() {
 		if (this.held != null && !this.held.held()) {
 			lose();
 		}
@@ -269,18 +270,18 @@
 		this.listener.lost(lease);
 	}
 
-	private void write(Attempt attempt, Consumer<StoredObject> written) {
+	private void write(Attempt attempt, Consumer<StoredObject> onSuccess) {
 		this.object.write(attempt).whenComplete((stored, failure) -> {
-			loseIfLapsed();
+			loseIfExpired();
 			if (failure == null && this.stopped) {
-				this.object.giveBack(attempt.number(), stored.version());
+				this.object.release(attempt.number(), stored.version());
 			}
 			else if (failure == null) {
-				this.object.settled();
-				written.accept(stored);
+				this.object.clearUnknownOutcomes();
+				onSuccess.accept(stored);
 			}
 			else if (!this.stopped) {
-				settle(attempt, failure);
+				handleFailure(attempt, failure);
 			}
 		});
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseContext.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseContext.java
@@ -9,35 +9,36 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * What all leases of a daemon share.
+ * The dependencies and settings shared by all leases of a daemon.
  *
  * @param scheduler the daemon's scheduler
  * @param store the platform's object API
  * @param self this daemon's incarnation
- * @param settings the times
- * @param random spreads the reads of claimants and marks writes
- * @param metrics counts leases taken, lost and contended
+ * @param settings durations and intervals
+ * @param random source of read jitter and of write nonces
+ * @param metrics counts leases acquired, leases lost and write conflicts
  */
 record LeaseContext(Scheduler scheduler, ObjectStore store, Incarnation self, LeaseSettings settings,
 		RandomGenerator random, MetricRegistry metrics) {
 
-	private static final double LEAST_PART = 0.75;
+	private static final double MIN_JITTER_FACTOR = 0.75;
 
-	private static final double SPREAD = 0.5;
+	private static final double JITTER_RANGE = 0.5;
 
 	/**
-	 * A pause before the next read of a lease that another daemon holds.
-	 * @return around the renewal interval
+	 * The jittered delay before the next read of a lease that another daemon holds.
+	 * @return 0.75 to 1.25 times the renewal interval
 	 */
-	Duration readPause() {
-		double part = LEAST_PART + SPREAD * this.random.nextDouble();
-		return Duration.ofNanos((long) (this.settings.renewEvery().toNanos() * part));
+	Duration readDelay() {
+		double factor = MIN_JITTER_FACTOR + JITTER_RANGE * this.random.nextDouble();
+		return Duration.ofNanos((long) (this.settings.renewEvery().toNanos() * factor));
 	}
 
 	/**
-	 * How long a lease is still valid.
-	 * @param sentAt when the write that took or renewed it was sent
-	 * @return nanoseconds, negative if it has lapsed
+	 * The remaining validity of a lease.
+	 * @param sentAt the monotonic time at which the write that acquired or renewed it was
+	 * sent
+	 * @return nanoseconds, zero or negative if it has expired
 	 */
 	long remainingNanos(long sentAt) {
 		return sentAt + this.settings.validity().toNanos() - this.scheduler.nanos();
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseManager.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseManager.java
@@ -12,31 +12,31 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Leases kept as objects of the platform.
+ * Leases stored as objects in the platform's object store.
  *
  * <p>
- * Invariants: of all daemons at most one sees a lease as held at any moment, as long as
- * their monotonic clocks differ in rate by less than the margin; the number of a later
- * tenure is greater. In an outage of the platform no lease can be taken, and those held
- * lapse. Confined to the scheduler's thread.
+ * Invariants: at most one daemon regards a lease as held at any moment, as long as the
+ * rates of their monotonic clocks differ by less than the margin allows; each later
+ * tenure has a greater number. During an outage of the platform no lease can be acquired,
+ * and those held expire. Confined to the scheduler's thread.
  */
 public final class LeaseManager implements Leases, StateDump {
 
-	private static final int MOST_SHOWN = 100;
+	private static final int MAX_DUMPED = 100;
 
 	private final LeaseContext context;
 
-	private final Map<String, LeaseSeeker> seekers = new TreeMap<>();
+	private final Map<String, LeaseAcquirer> acquirers = new TreeMap<>();
 
 	/**
 	 * Creates the manager.
 	 * @param scheduler the daemon's scheduler
 	 * @param store the platform's object API
 	 * @param self this daemon's incarnation
-	 * @param settings the times
-	 * @param random spreads the reads of claimants and marks writes; seeded differently
-	 * at each start
-	 * @param metrics counts leases taken, lost and contended
+	 * @param settings durations and intervals
+	 * @param random source of read jitter and of write nonces; seeded differently at each
+	 * start
+	 * @param metrics counts leases acquired, leases lost and write conflicts
 	 */
 	public LeaseManager(Scheduler scheduler, ObjectStore store, Incarnation self, LeaseSettings settings,
 			RandomGenerator random, MetricRegistry metrics) {
@@ -45,25 +45,25 @@
 
 	@Override
 	public void seek(String name, LeaseListener listener) {
-		if (this.seekers.containsKey(name)) {
-			throw new IllegalArgumentException("lease '" + name + "' is sought already");
+		if (this.acquirers.containsKey(name)) {
+			throw new IllegalArgumentException("lease '" + name + "' is already being acquired");
 		}
-		LeaseSeeker seeker = new LeaseSeeker(this.context, name, listener);
-		this.seekers.put(name, seeker);
-		seeker.start();
+		LeaseAcquirer acquirer = new LeaseAcquirer(this.context, name, listener);
+		this.acquirers.put(name, acquirer);
+		acquirer.start();
 	}
 
 	@Override
 	public void release(String name) {
-		LeaseSeeker seeker = this.seekers.remove(name);
-		if (seeker != null) {
-			seeker.stop();
+		LeaseAcquirer acquirer = this.acquirers.remove(name);
+		if (acquirer != null) {
+			acquirer.stop();
 		}
 	}
 
 	@Override
 	public Optional<Lease> lease(String name) {
-		return Optional.ofNullable(this.seekers.get(name)).flatMap(LeaseSeeker::lease);
+		return Optional.ofNullable(this.acquirers.get(name)).flatMap(LeaseAcquirer::lease);
 	}
 
 	@Override
@@ -73,7 +73,7 @@
 
 	@Override
 	public Object dump() {
-		return this.seekers.values().stream().limit(MOST_SHOWN).map(LeaseSeeker::view).toList();
+		return this.acquirers.values().stream().limit(MAX_DUMPED).map(LeaseAcquirer::view).toList();
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseObject.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseObject.java
@@ -10,25 +10,26 @@
 import org.bramleyscale.internal.platform.StoredObject;
 
 /**
- * The platform's object of one lease, with this daemon's writes to it.
+ * Reads and writes the stored object of one lease.
  *
  * <p>
- * Invariant: remembers when each write was sent whose outcome isn't known, as long as it
- * could still count. A reply can be lost after the write took effect. The holder would
- * then hold a lease it doesn't know of, or see a conflict with its own write and give up;
- * it shows as a lease that changes hands at a lost reply. Reading back the nonce tells
- * which write took effect, and so from when the lease counts. Confined to the scheduler's
- * thread.
+ * Invariant: the send time of each write with an unknown outcome is retained for as long
+ * as that write could still make the lease valid. The reply to a write can be lost after
+ * the write took effect. Without the retained time this daemon would hold a lease without
+ * knowing it, or would give the lease up on a conflict with its own write, so that a lost
+ * reply would transfer the lease to another daemon. The stored nonce identifies the write
+ * that took effect and thereby the time from which the lease is valid. Confined to the
+ * scheduler's thread.
  */
 final class LeaseObject {
 
-	private static final int GIVE_BACK_ATTEMPTS = 3;
+	private static final int RELEASE_ATTEMPTS = 3;
 
 	private final LeaseContext context;
 
 	private final ObjectKey key;
 
-	private final Map<Long, Long> unsettled = new HashMap<>();
+	private final Map<Long, Long> unknownOutcomes = new HashMap<>();
 
 	LeaseObject(LeaseContext context, String name) {
 		this.context = context;
@@ -44,12 +45,12 @@
 	}
 
 	/**
-	 * Prepares a write that is sent at once.
+	 * Prepares a write; it must be sent immediately, since the lease is valid from now.
 	 * @param number the fencing number
-	 * @param expected the version the object must have
+	 * @param expected the expected version of the stored object
 	 * @return the write
 	 */
-	Attempt attempt(long number, long expected) {
+	Attempt prepare(long number, long expected) {
 		long nonce = this.context.random().nextLong();
 		return new Attempt(number, expected, nonce, this.context.scheduler().nanos());
 	}
@@ -59,48 +60,48 @@
 	}
 
 	/**
-	 * Gives the lease back, so that the next holder need not wait for its expiry. If the
-	 * platform doesn't answer, the lease expires.
+	 * Releases the lease, so that the next holder need not wait for its expiry. If the
+	 * platform doesn't answer, the lease expires instead.
 	 * @param number the fencing number
 	 * @param version the object's version
 	 */
-	void giveBack(long number, long version) {
-		giveBack(number, version, GIVE_BACK_ATTEMPTS);
+	void release(long number, long version) {
+		release(number, version, RELEASE_ATTEMPTS);
 	}
 
 	/**
-	 * Keeps a write in mind whose outcome isn't known.
+	 * Records a write with an unknown outcome and drops records of expired validity.
 	 * @param attempt the write
 	 */
-	void unsettled(Attempt attempt) {
-		this.unsettled.values().removeIf((sentAt) -> this.context.remainingNanos(sentAt) <= 0);
-		this.unsettled.put(attempt.nonce, attempt.sentAt);
+	void recordUnknownOutcome(Attempt attempt) {
+		this.unknownOutcomes.values().removeIf((sentAt) -> this.context.remainingNanos(sentAt) <= 0);
+		this.unknownOutcomes.put(attempt.nonce, attempt.sentAt);
 	}
 
 	/**
-	 * Forgets the unsettled writes. One that still arrives either finds a newer version
-	 * and has no effect, or makes this daemon's next write conflict.
+	 * Clears the recorded writes. One that arrives later either finds a newer version and
+	 * has no effect, or causes a conflict with this daemon's next write.
 	 */
-	void settled() {
-		this.unsettled.clear();
+	void clearUnknownOutcomes() {
+		this.unknownOutcomes.clear();
 	}
 
 	/**
-	 * When the unsettled write with this nonce was sent.
+	 * The send time of the recorded write with this nonce.
 	 * @param nonce the nonce
-	 * @return the monotonic time, or empty if no unsettled write has the nonce
+	 * @return the monotonic time, or empty if no recorded write has the nonce
 	 */
 	Optional<Long> sentAt(long nonce) {
-		return Optional.ofNullable(this.unsettled.get(nonce));
+		return Optional.ofNullable(this.unknownOutcomes.get(nonce));
 	}
 
-	private void giveBack(long number, long version, int attempts) {
-		write(attempt(number, version), true).whenComplete((stored, failure) -> {
-			boolean refused = failure instanceof PlatformException platform
+	private void release(long number, long version, int attempts) {
+		write(prepare(number, version), true).whenComplete((stored, failure) -> {
+			boolean conflict = failure instanceof PlatformException platform
 					&& platform.kind() == PlatformException.Kind.CONFLICT;
-			if (failure != null && !refused && attempts > 1) {
+			if (failure != null && !conflict && attempts > 1) {
 				this.context.scheduler()
-					.schedule(this.context.settings().retryEvery(), () -> giveBack(number, version, attempts - 1));
+					.schedule(this.context.settings().retryEvery(), () -> release(number, version, attempts - 1));
 			}
 		});
 	}
@@ -113,12 +114,12 @@
 	}
 
 	/**
-	 * One write to the object.
+	 * One conditional write to the stored object.
 	 *
 	 * @param number the fencing number
-	 * @param expected the version the object must have
-	 * @param nonce marks the write
-	 * @param sentAt the monotonic time before it was sent
+	 * @param expected the expected version of the stored object
+	 * @param nonce identifies the write when the object is read back
+	 * @param sentAt the monotonic time just before it was sent
 	 */
 	record Attempt(long number, long expected, long nonce, long sentAt) {
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseSettings.java
@@ -3,21 +3,24 @@
 import java.time.Duration;
 
 /**
- * The times by which leases run.
+ * Durations and intervals of leases.
  *
  * <p>
- * A holder acts until {@code duration - margin} after it sent its last confirmed renewal;
- * a claimant waits {@code duration + margin}. The margins take up different rates of the
- * two clocks and the time between a check and the act that follows it.
+ * A holder may act until {@code duration - margin} after it sent its last confirmed
+ * renewal; a daemon that takes the lease over waits {@code duration + margin}. The
+ * margins cover the drift between the two clocks and the time between a check of the
+ * lease and the action that follows it.
  *
- * @param duration how long a lease lasts after a renewal
- * @param margin what the holder gives up and the claimant waits in addition
- * @param renewEvery the time between renewals, also between a claimant's reads
- * @param retryEvery the pause after a call that failed
+ * @param duration the duration of a lease after a renewal
+ * @param margin the safety margin, subtracted from the duration by the holder and added
+ * to it by a daemon that takes the lease over
+ * @param renewEvery the interval between renewals, and the mean interval between reads of
+ * a lease that another daemon holds
+ * @param retryEvery the delay after a failed call
  */
 public record LeaseSettings(Duration duration, Duration margin, Duration renewEvery, Duration retryEvery) {
 
-	/** Ten seconds, renewed three times. */
+	/** A duration of 10 seconds, with three renewal intervals per duration. */
 	public static final LeaseSettings DEFAULT = of(Duration.ofSeconds(10));
 
 	private static final int MARGINS_PER_DURATION = 10;
@@ -38,8 +41,9 @@
 	}
 
 	/**
-	 * The usual proportions: a margin of a tenth, a renewal each third.
-	 * @param duration how long a lease lasts after a renewal
+	 * Derives the margin, a tenth of the duration, the renewal interval, a third, and the
+	 * retry interval, a twentieth.
+	 * @param duration the duration of a lease after a renewal
 	 * @return the settings
 	 */
 	public static LeaseSettings of(Duration duration) {
@@ -48,16 +52,16 @@
 	}
 
 	/**
-	 * How long a holder may act after it sent a renewal.
+	 * The time for which a holder may act after it sent a renewal.
 	 * @return the duration less the margin
 	 */
 	Duration validity() {
 		return this.duration.minus(this.margin);
 	}
 
-	private static void requirePositive(String what, Duration value) {
+	private static void requirePositive(String name, Duration value) {
 		if (value.isNegative() || value.isZero()) {
-			throw new IllegalArgumentException(what + " must be positive, was " + value);
+			throw new IllegalArgumentException(name + " must be positive, was " + value);
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseValue.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseValue.java
@@ -9,14 +9,14 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * What a lease's object in the platform holds.
+ * The stored value of a lease's object.
  *
  * @param holder the holder's incarnation in its written form
  * @param number the fencing number: the object's version when the holder took it
- * @param nonce differs at each write of the holder, so that it recognises a write whose
- * reply was lost
- * @param durationMillis how long the lease lasts after this write
- * @param released whether the holder has given it back
+ * @param nonce differs for each write, so that the holder recognises a write whose reply
+ * was lost
+ * @param durationMillis the duration of the lease after this write, in milliseconds
+ * @param released whether the holder has released it
  */
 record LeaseValue(String holder, long number, long nonce, long durationMillis, boolean released) {
 
@@ -24,9 +24,9 @@
 		.configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
 
 	/**
-	 * Reads the stored form.
+	 * Decodes the stored JSON form.
 	 * @param bytes the object's value
-	 * @return the value, or empty if it isn't one
+	 * @return the value, or empty if the bytes aren't a valid lease value
 	 */
 	static Optional<LeaseValue> decode(byte[] bytes) {
 		try {
@@ -42,7 +42,7 @@
 			return mapper.writeValueAsBytes(this);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("The lease " + this + " could not be written", ex);
+			throw new IllegalStateException("Could not encode lease " + this, ex);
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseView.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseView.java
@@ -1,12 +1,12 @@
 package org.bramleyscale.internal.lease;
 
 /**
- * One lease as a state dump shows it.
+ * The state dump entry of one lease.
  *
  * @param name the leased job's name
- * @param holder who holds it as far as this daemon knows
+ * @param holder the holder as last observed by this daemon, or {@code unknown}
  * @param number the fencing number if this daemon holds it, else 0
- * @param remainingMillis how long it lasts if this daemon holds it, else 0
+ * @param remainingMillis the remaining validity if this daemon holds it, else 0
  */
 record LeaseView(String name, String holder, long number, long remainingMillis) {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/Leases.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/Leases.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * Leases that this daemon holds or seeks.
+ * Leases that this daemon holds or tries to acquire.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -11,14 +11,15 @@
 public interface Leases {
 
 	/**
-	 * Seeks a lease from now on, renews it when taken, and seeks it again when lost.
+	 * Starts trying to acquire a lease, renews it while held, and tries to acquire it
+	 * again when lost.
 	 * @param name the job's name
-	 * @param listener told when it is taken and lost
+	 * @param listener notified when the lease is acquired or lost
 	 */
 	void seek(String name, LeaseListener listener);
 
 	/**
-	 * Stops seeking and gives the lease back if held.
+	 * Stops trying to acquire a lease, and releases it if held.
 	 * @param name the job's name
 	 */
 	void release(String name);
@@ -26,14 +27,15 @@
 	Optional<Lease> lease(String name);
 
 	/**
-	 * Told of a lease's coming and going, on the scheduler's thread.
+	 * Notified on the scheduler's thread when a lease is acquired or lost.
 	 */
 	interface LeaseListener {
 
 		void taken(Lease lease);
 
 		/**
-		 * The lease lapsed, was lost or was given back; no act under it may begin.
+		 * Called when the lease expired, was superseded or was released; no action that
+		 * it protects may start any more.
 		 * @param lease the lease
 		 */
 		void lost(Lease lease);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Leases with numbers that fence off late holders.
+ * Leases with fencing numbers.
  */
 package org.bramleyscale.internal.lease;
