--- a/bramleyscale/src/main/java/org/bramleyscale/internal/steward/FencedOrders.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/steward/FencedOrders.java
@@ -15,19 +15,20 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Gives orders to endpoints under one tenure of a lease.
+ * Sends orders to endpoints under one tenure of a lease.
  *
  * <p>
- * Invariants: the lease is checked just before each order; each order carries the lease's
- * number; an endpoint that ignores numbers gets none before the longest possible late
- * order of an earlier holder has passed.
+ * Invariants: the lease is checked immediately before each order; each order carries the
+ * lease's fencing number; an endpoint that doesn't check fencing numbers gets no order
+ * until the maximum delay of an earlier holder's orders has elapsed.
  *
  * <p>
- * A holder can be paused between the check and the sending, and its order arrives after
- * the next holder's. An endpoint that checks numbers refuses it. One that ignores them
- * would take the old state for good, which shows as a model that comes and goes; there
- * the wait makes the new holder's order the last one, and whoever gives orders must go on
- * comparing and repeat them. Confined to the scheduler's thread.
+ * A holder can be paused between the check and the sending, so that its order arrives
+ * after one of the next holder. An endpoint that checks fencing numbers rejects the late
+ * order. One that doesn't check them would keep the outdated state, and a model would be
+ * loaded and unloaded repeatedly. For such an endpoint the wait ensures that the new
+ * holder's order is the last one, and the caller must keep comparing desired with
+ * observed state and repeat its orders. Confined to the scheduler's thread.
  */
 public final class FencedOrders {
 
@@ -39,14 +40,15 @@
 
 	private final MetricRegistry metrics;
 
-	private final long openAt;
+	private final long acceptedFrom;
 
 	/**
-	 * Begins a tenure.
+	 * Creates an instance for one tenure.
 	 * @param scheduler the daemon's scheduler
 	 * @param engines calls the endpoints
-	 * @param lease the lease, just taken
-	 * @param longestLateOrder how late an order of an earlier holder may still arrive
+	 * @param lease the lease, just acquired
+	 * @param longestLateOrder the maximum delay with which an order of an earlier holder
+	 * may arrive
 	 * @param metrics counts the outcomes
 	 */
 	public FencedOrders(Scheduler scheduler, EngineClient engines, Lease lease, Duration longestLateOrder,
@@ -55,34 +57,34 @@
 		this.engines = engines;
 		this.lease = lease;
 		this.metrics = metrics;
-		this.openAt = scheduler.nanos() + longestLateOrder.toNanos();
+		this.acceptedFrom = scheduler.nanos() + longestLateOrder.toNanos();
 	}
 
 	/**
-	 * Whether an endpoint may be given orders.
+	 * Whether orders may be sent to an endpoint.
 	 * @param endpoint the endpoint
-	 * @return false while a late order of an earlier holder may still arrive there
+	 * @return false while a late order of an earlier holder may still arrive at it
 	 */
-	public boolean open(EndpointEntry endpoint) {
-		return endpoint.checksFencing() || this.scheduler.nanos() - this.openAt >= 0;
+	public boolean acceptsOrders(EndpointEntry endpoint) {
+		return endpoint.checksFencing() || this.scheduler.nanos() - this.acceptedFrom >= 0;
 	}
 
 	/**
-	 * Gives an order, once.
+	 * Sends an order, without retries.
 	 * @param endpoint the endpoint
-	 * @param kind what shall change
+	 * @param kind the kind of change
 	 * @param desired the desired value
-	 * @return what became of it; never fails
+	 * @return the outcome; the future never completes exceptionally
 	 */
 	public CompletableFuture<OrderOutcome> give(EndpointEntry endpoint, EngineOrder.Kind kind, String desired) {
-		if (!open(endpoint)) {
+		if (!acceptsOrders(endpoint)) {
 			return CompletableFuture.completedFuture(count(OrderOutcome.TOO_EARLY));
 		}
 		if (!this.lease.held()) {
 			return CompletableFuture.completedFuture(count(OrderOutcome.NOT_HELD));
 		}
 		EngineOrder order = new EngineOrder(kind, desired, this.lease.number());
-		return this.engines.order(endpoint, order).handle((nothing, failure) -> count(outcome(failure)));
+		return this.engines.order(endpoint, order).handle((ignored, failure) -> count(outcome(failure)));
 	}
 
 	private static OrderOutcome outcome(Throwable failure) {
@@ -90,8 +92,8 @@
 			return OrderOutcome.ACCEPTED;
 		}
 		Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
-		boolean fencedOff = cause instanceof ServingException serving && serving.code() == ErrorCode.CONFLICT;
-		return (fencedOff) ? OrderOutcome.FENCED_OFF : OrderOutcome.FAILED;
+		boolean fenced = cause instanceof ServingException serving && serving.code() == ErrorCode.CONFLICT;
+		return (fenced) ? OrderOutcome.FENCED_OFF : OrderOutcome.FAILED;
 	}
 
 	private OrderOutcome count(OrderOutcome outcome) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/steward/ModelLoadPlan.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/steward/ModelLoadPlan.java
@@ -13,86 +13,88 @@
 import org.bramleyscale.internal.endpoint.EngineOrder;
 
 /**
- * Decides which models to load and unload next.
+ * Plans the next model loads and unloads.
  *
  * <p>
- * Invariants: at most the given number of loads are under way; a model with fewer copies
- * in the data centre is loaded first, so that each model has one copy before any has two;
- * the last copy of a model that is wanted elsewhere stays until another is loaded, or the
- * load timeout has passed. An order is repeated when the report doesn't show its effect
- * in time, or shows it undone. Deterministic; confined to the scheduler's thread.
+ * Invariants: the number of loads in progress doesn't exceed
+ * {@link StewardSettings#maxConcurrentLoads()}; a model with fewer copies in the data
+ * centre is loaded first, so that each model has one copy before any has two; the last
+ * copy of a model that another endpoint should have stays loaded until another copy is
+ * loaded or the load timeout has elapsed. An order is repeated if the endpoint's report
+ * doesn't show its effect in time, or shows that it was undone. Deterministic; confined
+ * to the scheduler's thread.
  */
 final class ModelLoadPlan {
 
 	private final StewardSettings settings;
 
-	private final Map<PlannedOrder, Given> given = new LinkedHashMap<>();
+	private final Map<PlannedOrder, IssuedOrder> issued = new LinkedHashMap<>();
 
-	private final Map<PlannedOrder, Long> keptSince = new HashMap<>();
+	private final Map<PlannedOrder, Long> retainedSince = new HashMap<>();
 
 	ModelLoadPlan(StewardSettings settings) {
 		this.settings = settings;
 	}
 
 	/**
-	 * Compares desired with observed.
-	 * @param endpoints the endpoints that may be given orders
+	 * Compares the desired with the observed models.
+	 * @param endpoints the endpoints to which orders may be sent
 	 * @param now the monotonic time
-	 * @return the orders to give now
+	 * @return the orders to send now
 	 */
 	List<PlannedOrder> next(List<ObservedEndpoint> endpoints, long now) {
-		forget(endpoints, now);
+		discardSettled(endpoints, now);
 		List<PlannedOrder> orders = new ArrayList<>(unloads(endpoints, now));
 		orders.addAll(loads(endpoints));
 		return orders;
 	}
 
 	/**
-	 * Remembers an order that is being given.
+	 * Records an order that is being sent.
 	 * @param order the order
 	 * @param boot the endpoint's boot number
 	 * @param now the monotonic time
 	 */
-	void given(PlannedOrder order, long boot, long now) {
-		this.given.put(order, new Given(boot, now, false));
+	void issued(PlannedOrder order, long boot, long now) {
+		this.issued.put(order, new IssuedOrder(boot, now, false));
 	}
 
 	/**
-	 * Remembers that an order failed, so that it is repeated after a pause.
+	 * Records that an order failed, so that it is repeated after a delay.
 	 * @param order the order
 	 * @param now the monotonic time
 	 */
 	void failed(PlannedOrder order, long now) {
-		this.given.computeIfPresent(order, (key, before) -> new Given(before.boot, now, true));
+		this.issued.computeIfPresent(order, (key, previous) -> new IssuedOrder(previous.boot, now, true));
 	}
 
 	long loading() {
-		return this.given.entrySet()
+		return this.issued.entrySet()
 			.stream()
 			.filter((entry) -> entry.getKey().loads() && !entry.getValue().failed)
 			.count();
 	}
 
-	private void forget(List<ObservedEndpoint> endpoints, long now) {
+	private void discardSettled(List<ObservedEndpoint> endpoints, long now) {
 		Map<EndpointId, ObservedEndpoint> byName = new HashMap<>();
 		endpoints.forEach((endpoint) -> byName.put(endpoint.entry().name(), endpoint));
-		this.given.entrySet()
+		this.issued.entrySet()
 			.removeIf((entry) -> settled(entry.getKey(), entry.getValue(),
 					Optional.ofNullable(byName.get(entry.getKey().endpoint())), now));
-		this.keptSince.keySet().removeIf((order) -> !byName.containsKey(order.endpoint()));
+		this.retainedSince.keySet().removeIf((order) -> !byName.containsKey(order.endpoint()));
 	}
 
-	private boolean settled(PlannedOrder order, Given state, Optional<ObservedEndpoint> endpoint, long now) {
-		if (now - state.since >= patience(order, state)) {
+	private boolean settled(PlannedOrder order, IssuedOrder state, Optional<ObservedEndpoint> endpoint, long now) {
+		if (now - state.since >= timeout(order, state)) {
 			return true;
 		}
 		return endpoint.isPresent() && (endpoint.get().report().boot() != state.boot
 				|| endpoint.get().loaded(order.model()) == order.loads());
 	}
 
-	private long patience(PlannedOrder order, Given state) {
-		boolean longOne = order.loads() && !state.failed;
-		return ((longOne) ? this.settings.loadTimeout() : this.settings.repeatAfter()).toNanos();
+	private long timeout(PlannedOrder order, IssuedOrder state) {
+		boolean loadInProgress = order.loads() && !state.failed;
+		return ((loadInProgress) ? this.settings.loadTimeout() : this.settings.repeatDelay()).toNanos();
 	}
 
 	private List<PlannedOrder> unloads(List<ObservedEndpoint> endpoints, long now) {
@@ -101,7 +103,7 @@
 			for (String model : endpoint.surplus()) {
 				PlannedOrder order = new PlannedOrder(endpoint.entry().name(), EngineOrder.Kind.UNLOAD_MODEL, model);
 				long remaining = loadedCopies(model, endpoints) - unloading(model, orders);
-				if (!this.given.containsKey(order) && !kept(order, remaining, endpoints, now)) {
+				if (!this.issued.containsKey(order) && !retained(order, remaining, endpoints, now)) {
 					orders.add(order);
 				}
 			}
@@ -109,29 +111,29 @@
 		return orders;
 	}
 
-	private boolean kept(PlannedOrder order, long remaining, List<ObservedEndpoint> endpoints, long now) {
-		// When the register moves a model, unloading the old copy at once would leave the
-		// model without any until the new one is loaded, which shows as refusals for
-		// minutes. The limit in time is for engines without room for both.
-		boolean wanted = endpoints.stream().anyMatch((endpoint) -> endpoint.desires(order.model()));
-		if (!wanted || remaining > 1) {
-			this.keptSince.remove(order);
+	private boolean retained(PlannedOrder order, long remaining, List<ObservedEndpoint> endpoints, long now) {
+		// If the register moves a model, unloading the old copy immediately would leave
+		// no copy until the new one is loaded, and requests would be refused for minutes.
+		// The time limit is needed for engines without memory for both models.
+		boolean desired = endpoints.stream().anyMatch((endpoint) -> endpoint.desires(order.model()));
+		if (!desired || remaining > 1) {
+			this.retainedSince.remove(order);
 			return false;
 		}
-		long since = this.keptSince.computeIfAbsent(order, (key) -> now);
+		long since = this.retainedSince.computeIfAbsent(order, (key) -> now);
 		return now - since < this.settings.loadTimeout().toNanos();
 	}
 
 	private List<PlannedOrder> loads(List<ObservedEndpoint> endpoints) {
-		List<PlannedOrder> wanted = missing(endpoints);
+		List<PlannedOrder> candidates = missing(endpoints);
 		Map<String, Long> copies = copies(endpoints);
 		List<PlannedOrder> orders = new ArrayList<>();
-		long room = this.settings.mostLoads() - loading();
-		while (orders.size() < room && !wanted.isEmpty()) {
-			PlannedOrder next = wanted.stream()
+		long available = this.settings.maxConcurrentLoads() - loading();
+		while (orders.size() < available && !candidates.isEmpty()) {
+			PlannedOrder next = candidates.stream()
 				.min(Comparator.comparingLong((order) -> copies.getOrDefault(order.model(), 0L)))
 				.orElseThrow();
-			wanted.remove(next);
+			candidates.remove(next);
 			copies.merge(next.model(), 1L, Long::sum);
 			orders.add(next);
 		}
@@ -143,7 +145,7 @@
 		for (ObservedEndpoint endpoint : endpoints) {
 			for (String model : endpoint.missing()) {
 				PlannedOrder order = new PlannedOrder(endpoint.entry().name(), EngineOrder.Kind.LOAD_MODEL, model);
-				if (!this.given.containsKey(order)) {
+				if (!this.issued.containsKey(order)) {
 					orders.add(order);
 				}
 			}
@@ -156,7 +158,7 @@
 		for (ObservedEndpoint endpoint : endpoints) {
 			endpoint.report().models().forEach((model) -> copies.merge(model, 1L, Long::sum));
 		}
-		this.given.forEach((order, state) -> {
+		this.issued.forEach((order, state) -> {
 			if (order.loads() && !state.failed) {
 				copies.merge(order.model(), 1L, Long::sum);
 			}
@@ -169,15 +171,19 @@
 	}
 
 	private long unloading(String model, List<PlannedOrder> planned) {
-		return Stream.concat(this.given.keySet().stream(), planned.stream())
+		return Stream.concat(this.issued.keySet().stream(), planned.stream())
 			.filter((order) -> !order.loads() && order.model().equals(model))
 			.count();
 	}
 
 	/**
-	 * The state of an order.
+	 * The state of an order that was sent.
+	 *
+	 * @param boot the endpoint's boot number when the order was sent
+	 * @param since the monotonic time at which it was sent or failed
+	 * @param failed whether it failed
 	 */
-	private record Given(long boot, long since, boolean failed) {
+	private record IssuedOrder(long boot, long since, boolean failed) {
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/steward/ObservedEndpoint.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/steward/ObservedEndpoint.java
@@ -7,9 +7,9 @@
 import org.bramleyscale.internal.endpoint.LoadReport;
 
 /**
- * An endpoint as the register wants it and as it reported itself.
+ * The desired state of an endpoint and its latest report.
  *
- * @param entry the register's entry
+ * @param entry the endpoint's entry in the register
  * @param report the latest report
  */
 record ObservedEndpoint(EndpointEntry entry, LoadReport report) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/steward/OrderOutcome.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/steward/OrderOutcome.java
@@ -1,23 +1,27 @@
 package org.bramleyscale.internal.steward;
 
 /**
- * What became of an order.
+ * The outcome of an order.
  */
 public enum OrderOutcome {
 
-	/** The endpoint accepted it. */
+	/** The endpoint accepted the order. */
 	ACCEPTED,
 
-	/** It wasn't sent, since the lease is no longer held. */
+	/** The order wasn't sent, since the lease is no longer held. */
 	NOT_HELD,
 
-	/** It wasn't sent, since a late order of an earlier holder may still arrive. */
+	/**
+	 * The order wasn't sent, since a late order of an earlier holder may still arrive.
+	 */
 	TOO_EARLY,
 
-	/** The endpoint has seen a later holder. */
+	/**
+	 * The endpoint rejected the order, since it has received an order of a later holder.
+	 */
 	FENCED_OFF,
 
-	/** It was refused, or its fate is unknown. */
+	/** The order was refused for another reason, or its outcome is unknown. */
 	FAILED
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/steward/PlannedOrder.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/steward/PlannedOrder.java
@@ -4,7 +4,7 @@
 import org.bramleyscale.internal.endpoint.EngineOrder;
 
 /**
- * An order to be given to an endpoint.
+ * An order to be sent to an endpoint.
  *
  * @param endpoint the endpoint
  * @param kind load or unload
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/steward/Steward.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/steward/Steward.java
@@ -20,18 +20,19 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Keeps the models of a data centre's endpoints as the register wants them, while this
- * daemon holds the lease for it.
+ * Reconciles the models loaded by a data centre's endpoints with the register, while this
+ * daemon holds the data centre's lease.
  *
  * <p>
- * Invariant: gives no order without the lease held. It compares desired with observed
- * again and again, so neither a lost order nor a late one of an earlier holder lasts.
- * During an outage of the platform the lease lapses and loads wait; what is loaded goes
- * on serving. Confined to the scheduler's thread.
+ * Invariant: no order is sent unless the lease is held. Desired and observed models are
+ * compared periodically, which corrects the effect of a lost order and of a late order of
+ * an earlier holder. During an outage of the platform the lease expires and no models are
+ * loaded; those already loaded continue to serve requests. Confined to the scheduler's
+ * thread.
  */
 public final class Steward implements StateDump {
 
-	private static final int MOST_SHOWN = 100;
+	private static final int MAX_DUMPED = 100;
 
 	private final Scheduler scheduler;
 
@@ -67,7 +68,7 @@
 	}
 
 	/**
-	 * The name of the lease for a data centre's models.
+	 * The name of the lease that protects the model loads of a data centre.
 	 * @param dataCentre the data centre
 	 * @return the lease's name
 	 */
@@ -76,7 +77,7 @@
 	}
 
 	/**
-	 * Seeks the lease from now on.
+	 * Starts trying to acquire the lease.
 	 */
 	public void start() {
 		this.leases.seek(leaseName(this.dataCentre), new LeaseListener() {
@@ -95,7 +96,7 @@
 	}
 
 	/**
-	 * Gives the lease back.
+	 * Stops reconciling and releases the lease.
 	 */
 	public void stop() {
 		this.leases.release(leaseName(this.dataCentre));
@@ -114,7 +115,7 @@
 
 	private void end() {
 		if (this.tenure != null) {
-			this.tenure.comparison.cancel();
+			this.tenure.reconciliation.cancel();
 			this.tenure = null;
 		}
 	}
@@ -130,7 +131,7 @@
 
 		private final ModelLoadPlan plan;
 
-		private final Cancellable comparison;
+		private final Cancellable reconciliation;
 
 		private Tenure(Lease lease) {
 			Steward steward = Steward.this;
@@ -138,21 +139,21 @@
 			this.orders = new FencedOrders(steward.scheduler, steward.engines, lease,
 					steward.settings.longestLateOrder(), steward.metrics);
 			this.plan = new ModelLoadPlan(steward.settings);
-			this.comparison = steward.scheduler.repeat(steward.settings.compareEvery(), this::compare);
+			this.reconciliation = steward.scheduler.repeat(steward.settings.reconcileInterval(), this::reconcile);
 		}
 
-		private void compare() {
+		private void reconcile() {
 			long now = Steward.this.scheduler.nanos();
 			List<ObservedEndpoint> endpoints = observed();
 			for (PlannedOrder order : this.plan.next(endpoints, now)) {
 				endpoints.stream()
 					.filter((endpoint) -> endpoint.entry().name().equals(order.endpoint()))
-					.forEach((endpoint) -> give(order, endpoint));
+					.forEach((endpoint) -> send(order, endpoint));
 			}
 		}
 
-		private void give(PlannedOrder order, ObservedEndpoint endpoint) {
-			this.plan.given(order, endpoint.report().boot(), Steward.this.scheduler.nanos());
+		private void send(PlannedOrder order, ObservedEndpoint endpoint) {
+			this.plan.issued(order, endpoint.report().boot(), Steward.this.scheduler.nanos());
 			this.orders.give(endpoint.entry(), order.kind(), order.model()).thenAccept((outcome) -> {
 				if (outcome != OrderOutcome.ACCEPTED) {
 					this.plan.failed(order, Steward.this.scheduler.nanos());
@@ -163,7 +164,7 @@
 		private List<ObservedEndpoint> observed() {
 			List<ObservedEndpoint> endpoints = new ArrayList<>();
 			for (EndpointEntry entry : Steward.this.configuration.current().register().endpoints()) {
-				if (mine(entry) && this.orders.open(entry)) {
+				if (managed(entry) && this.orders.acceptsOrders(entry)) {
 					Steward.this.reports.apply(entry.name())
 						.filter((report) -> !report.leaving())
 						.ifPresent((report) -> endpoints.add(new ObservedEndpoint(entry, report)));
@@ -172,7 +173,7 @@
 			return endpoints;
 		}
 
-		private boolean mine(EndpointEntry entry) {
+		private boolean managed(EndpointEntry entry) {
 			return entry.dataCentre().equals(Steward.this.dataCentre) && !entry.models().isEmpty() && !entry.leaving();
 		}
 
@@ -181,8 +182,8 @@
 				.register()
 				.endpoints()
 				.stream()
-				.filter((entry) -> mine(entry) && !this.orders.open(entry))
-				.limit(MOST_SHOWN)
+				.filter((entry) -> managed(entry) && !this.orders.acceptsOrders(entry))
+				.limit(MAX_DUMPED)
 				.map((entry) -> entry.name().value())
 				.toList();
 			return new StewardView(this.lease.held(), this.lease.number(), this.plan.loading(), waiting);
@@ -191,7 +192,7 @@
 	}
 
 	/**
-	 * Builds a steward; all parts but the settings are required.
+	 * Builds a steward; every property except the settings is required.
 	 */
 	public static final class Builder {
 
@@ -262,9 +263,9 @@
 			return new Steward(this);
 		}
 
-		private static void require(String part, Object value) {
+		private static void require(String property, Object value) {
 			if (value == null) {
-				throw new IllegalArgumentException("steward needs " + part);
+				throw new IllegalArgumentException("steward requires property: " + property);
 			}
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/steward/StewardSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/steward/StewardSettings.java
@@ -3,36 +3,39 @@
 import java.time.Duration;
 
 /**
- * The times and limits of the steward.
+ * Durations and limits of the steward.
  *
- * @param compareEvery the pause between two comparisons of desired and observed models
- * @param longestLateOrder how late an order of an earlier holder may still arrive at an
- * endpoint that doesn't check fencing numbers
- * @param repeatAfter how long an order is given to show in the endpoint's report before
- * it is repeated, and the pause after one that failed
+ * @param reconcileInterval the delay between two comparisons of desired and observed
+ * models
+ * @param longestLateOrder the maximum delay with which an order of an earlier holder may
+ * arrive at an endpoint that doesn't check fencing numbers
+ * @param repeatDelay how long an unload may take to show in the endpoint's report before
+ * it is ordered again, and the delay before any failed order is repeated
  * @param loadTimeout how long a load may take before it is ordered again
- * @param mostLoads how many loads run at once; the weight store is rate limited
+ * @param maxConcurrentLoads the maximum number of concurrent loads; limited because the
+ * weight store is rate limited
  */
-public record StewardSettings(Duration compareEvery, Duration longestLateOrder, Duration repeatAfter,
-		Duration loadTimeout, int mostLoads) {
+public record StewardSettings(Duration reconcileInterval, Duration longestLateOrder, Duration repeatDelay,
+		Duration loadTimeout, int maxConcurrentLoads) {
 
-	/** The values used unless the daemon's settings say otherwise. */
+	/** The default settings. */
 	public static final StewardSettings DEFAULT = new StewardSettings(Duration.ofSeconds(1), Duration.ofSeconds(15),
 			Duration.ofSeconds(5), Duration.ofMinutes(2), 2);
 
 	public StewardSettings {
-		requirePositive("comparison interval", compareEvery);
-		requirePositive("longest late order", longestLateOrder);
-		requirePositive("repeat interval", repeatAfter);
+		requirePositive("reconcile interval", reconcileInterval);
+		requirePositive("maximum order delay", longestLateOrder);
+		requirePositive("repeat delay", repeatDelay);
 		requirePositive("load timeout", loadTimeout);
-		if (mostLoads <= 0) {
-			throw new IllegalArgumentException("number of loads at once must be positive, was " + mostLoads);
+		if (maxConcurrentLoads <= 0) {
+			throw new IllegalArgumentException(
+					"maximum number of concurrent loads must be positive, was " + maxConcurrentLoads);
 		}
 	}
 
-	private static void requirePositive(String what, Duration value) {
+	private static void requirePositive(String name, Duration value) {
 		if (value.isNegative() || value.isZero()) {
-			throw new IllegalArgumentException(what + " must be positive, was " + value);
+			throw new IllegalArgumentException(name + " must be positive, was " + value);
 		}
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/steward/ModelLoadPlanTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/steward/ModelLoadPlanTests.java
@@ -33,7 +33,7 @@
 	private long boot = 1;
 
 	@Test
-	void wantsNothingWhenDesiredIsObserved() {
+	void givesNoOrdersWhenDesiredModelsAreLoaded() {
 		engine("e1", List.of("m1"), "m1");
 		Truth.assertThat(step()).isEmpty();
 	}
@@ -47,7 +47,7 @@
 	}
 
 	@Test
-	void keepsToTheMostLoadsAtOnce() {
+	void limitsConcurrentLoads() {
 		engine("e1", List.of("m1"));
 		engine("e2", List.of("m1"));
 		engine("e3", List.of("m1"));
@@ -58,10 +58,10 @@
 	}
 
 	@Test
-	void repeatsALoadThatNeverShows() {
+	void repeatsALoadThatTimesOut() {
 		engine("e1", List.of("m1"));
 		step();
-		pass(SETTINGS.loadTimeout());
+		advance(SETTINGS.loadTimeout());
 		Truth.assertThat(step()).containsExactly("e1 LOAD_MODEL m1");
 	}
 
@@ -79,25 +79,24 @@
 		step();
 		this.plan.failed(new PlannedOrder(new EndpointId("e1"), EngineOrder.Kind.LOAD_MODEL, "m1"), this.now);
 		Truth.assertThat(step()).isEmpty();
-		pass(SETTINGS.repeatAfter());
+		advance(SETTINGS.repeatDelay());
 		Truth.assertThat(step()).containsExactly("e1 LOAD_MODEL m1");
 	}
 
 	@Test
-	void unloadsAModelThatNobodyWants() {
+	void unloadsAModelThatNoEndpointDesires() {
 		engine("e1", List.of("m1"), "m1", "old");
 		Truth.assertThat(step()).containsExactly("e1 UNLOAD_MODEL old");
 		Truth.assertThat(step()).isEmpty();
-		pass(SETTINGS.repeatAfter());
+		advance(SETTINGS.repeatDelay());
 		Truth.assertThat(step()).containsExactly("e1 UNLOAD_MODEL old");
 	}
 
 	@Test
 	void keepsTheLastCopyUntilTheModelIsLoadedElsewhere() {
-		// Symptom: a model is refused for minutes after the register moved it.
-		// Sequence: the register moves a model from one engine to another; both orders
-		// are given at once.
-		// Cause: an unload is quick, a load is slow.
+		// Guards against requests for a model being refused for minutes after the
+		// register moved it from one engine to another. The failure occurs if both orders
+		// are sent at once, since an unload is fast and a load is slow.
 		engine("e1", List.of("m2"), "m1");
 		engine("e2", List.of("m1"), "m2");
 		Truth.assertThat(step()).containsExactly("e1 LOAD_MODEL m2", "e2 LOAD_MODEL m1");
@@ -107,9 +106,9 @@
 
 	@Test
 	void keepsOneOfTwoSurplusCopies() {
-		// Symptom: a model has no copy although two engines had it.
-		// Sequence: both copies become surplus in one change.
-		// Cause: each is unloaded because the other is still there.
+		// Guards against a model being left without a copy although two engines had it
+		// loaded. The failure occurs when one change makes both copies surplus and each
+		// is unloaded because the other still exists.
 		engine("e1", List.of("m2"), "m1", "m2");
 		engine("e2", List.of("m2"), "m1", "m2");
 		engine("e3", List.of("m1"));
@@ -117,14 +116,15 @@
 	}
 
 	@Test
-	void unloadsTheLastCopyWhenTheLoadElsewhereDoesNotCome() {
-		// Symptom: two engines wait for each other for ever.
-		// Sequence: the register swaps the models of two engines without room for both.
-		// Cause: each keeps its last copy until the other has loaded.
+	void unloadsTheLastCopyWhenTheLoadElsewhereTimesOut() {
+		// Guards against a deadlock of two engines whose models the register swaps,
+		// without
+		// memory for both. The failure occurs if each keeps its last copy until the other
+		// has loaded its own.
 		engine("e1", List.of("m2"), "m1");
 		engine("e2", List.of("m1"), "m2");
 		step();
-		pass(SETTINGS.loadTimeout());
+		advance(SETTINGS.loadTimeout());
 		Truth.assertThat(step()).contains("e1 UNLOAD_MODEL m1");
 	}
 
@@ -133,16 +133,16 @@
 		this.loaded.put(name, new TreeSet<>(Set.of(loadedModels)));
 	}
 
-	private void pass(Duration time) {
+	private void advance(Duration time) {
 		this.now += time.toNanos();
 	}
 
 	private List<String> step() {
-		pass(SETTINGS.compareEvery());
+		advance(SETTINGS.reconcileInterval());
 		List<ObservedEndpoint> endpoints = new ArrayList<>();
 		this.desired.forEach((name, models) -> endpoints.add(observed(name, models)));
 		List<PlannedOrder> orders = this.plan.next(endpoints, this.now);
-		orders.forEach((order) -> this.plan.given(order, this.boot, this.now));
+		orders.forEach((order) -> this.plan.issued(order, this.boot, this.now));
 		return orders.stream().map((order) -> order.endpoint() + " " + order.kind() + " " + order.model()).toList();
 	}
 
