--- a/bramleyscale/src/main/java/org/bramleyscale/internal/address/AddressBook.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/address/AddressBook.java
@@ -3,7 +3,7 @@
 import org.bramleyscale.ClientAccountId;
 
 /**
- * Tells callers which entries to use.
+ * Returns the entries that a client account should call.
  *
  * <p>
  * Confined to the scheduler's thread.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/address/LeaveActions.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/address/LeaveActions.java
@@ -1,7 +1,7 @@
 package org.bramleyscale.internal.address;
 
 /**
- * What a planned stop does to the rest of the daemon.
+ * The effects of a planned stop on the rest of the daemon.
  *
  * <p>
  * Called on the scheduler's thread.
@@ -9,24 +9,24 @@
 public interface LeaveActions {
 
 	/**
-	 * Marks this daemon as leaving and spreads the mark.
+	 * Marks this daemon as leaving and propagates the mark to the other daemons.
 	 */
 	void announce();
 
 	/**
-	 * Stops taking new requests; running ones go on.
+	 * Stops accepting new requests; accepted ones continue.
 	 */
 	void refuseNew();
 
 	/**
-	 * How many requests have not ended.
-	 * @return their number
+	 * The number of requests that have not ended.
+	 * @return the number of requests
 	 */
 	int unfinished();
 
 	/**
-	 * Ends the daemon.
-	 * @param complete false if the limit was reached with requests unfinished
+	 * Shuts the daemon down.
+	 * @param complete false if the time limit was reached with requests unfinished
 	 */
 	void end(boolean complete);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/address/LeavePlan.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/address/LeavePlan.java
@@ -12,18 +12,18 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Takes a daemon through its planned stop.
+ * Runs the phases of a daemon's planned stop.
  *
  * <p>
- * The daemon first drops out of address answers while it goes on accepting, since callers
- * that keep an earlier answer still come. Only when the last of those answers has expired
- * does it refuse new requests, and it ends when the last request has ended. Invariants:
- * phases pass in order and never back; a refusal says that the request didn't run.
- * Confined to the scheduler's thread.
+ * The daemon is first left out of address answers but continues to accept requests, since
+ * callers may still use a cached answer. It refuses new requests only after the last of
+ * those answers has expired, and shuts down after the last request has ended. Invariants:
+ * phases only advance, in their declared order; a refusal states that the request didn't
+ * run. Confined to the scheduler's thread.
  */
 public final class LeavePlan implements StateDump {
 
-	private static final Duration CHECK = Duration.ofMillis(100);
+	private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
 	private final Scheduler scheduler;
 
@@ -35,7 +35,7 @@
 
 	private Phase phase = Phase.SERVING;
 
-	private long begunAt;
+	private long startedAt;
 
 	private long idleSince;
 
@@ -49,14 +49,14 @@
 	}
 
 	/**
-	 * Begins the stop; calling again has no effect.
+	 * Starts the planned stop; further calls have no effect.
 	 */
 	public void begin() {
 		if (this.phase != Phase.SERVING) {
 			return;
 		}
 		this.phase = Phase.ANNOUNCED;
-		this.begunAt = this.scheduler.nanos();
+		this.startedAt = this.scheduler.nanos();
 		this.actions.announce();
 		this.scheduler.schedule(this.times.keepFor().plus(this.times.spread()), this::refuse);
 	}
@@ -66,10 +66,10 @@
 	}
 
 	/**
-	 * Why a new request of an account is refused.
+	 * The refusal of a new request of an account.
 	 * @param account the account
-	 * @return the refusal, naming another address if there is one, or empty if the
-	 * request is taken
+	 * @return the refusal, with an alternative address if there is one, or empty if the
+	 * request is accepted
 	 */
 	public Optional<ServingException> refusal(ClientAccountId account) {
 		if (this.phase.compareTo(Phase.REFUSING) < 0) {
@@ -81,7 +81,7 @@
 	}
 
 	/**
-	 * Where an account should go instead.
+	 * The entry that an account should call instead of this one.
 	 * @param account the account
 	 * @return its preferred entry, which is never this daemon once the stop has begun
 	 */
@@ -115,11 +115,11 @@
 		if (this.idle && now - this.idleSince >= this.times.linger().toNanos()) {
 			end(true);
 		}
-		else if (now - this.begunAt >= this.times.limit().toNanos()) {
+		else if (now - this.startedAt >= this.times.limit().toNanos()) {
 			end(this.idle);
 		}
 		else {
-			this.scheduler.schedule(CHECK, this::check);
+			this.scheduler.schedule(CHECK_INTERVAL, this::check);
 		}
 	}
 
@@ -129,29 +129,29 @@
 	}
 
 	/**
-	 * The phases in their order.
+	 * The phases of the planned stop in chronological order.
 	 */
 	public enum Phase {
 
 		/** No stop is planned. */
 		SERVING,
 
-		/** Out of address answers, still accepting. */
+		/** Left out of address answers, still accepting requests. */
 		ANNOUNCED,
 
-		/** Refusing new requests while the accepted ones end. */
+		/** Refusing new requests until the accepted ones have ended. */
 		REFUSING,
 
-		/** The daemon has been told to end. */
+		/** The shutdown of the daemon has been requested. */
 		ENDED
 
 	}
 
 	/**
-	 * The plan in the state dump.
+	 * The state dump of the plan.
 	 *
-	 * @param phase the phase
-	 * @param unfinished how many requests have not ended
+	 * @param phase the current phase
+	 * @param unfinished the number of requests that have not ended
 	 */
 	private record Dump(Phase phase, int unfinished) {
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/address/LeaveTimes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/address/LeaveTimes.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * The times of a planned stop.
+ * Durations of a planned stop.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
  *
- * @param keepFor how long callers keep address answers
- * @param spread how long the leaving mark takes to reach all daemons at most
- * @param linger how long the daemon stays once nothing is unfinished, so that a caller
- * that lost the end of its answer can still ask for it
- * @param limit after this long the daemon ends whatever is unfinished
+ * @param keepFor how long callers cache address answers
+ * @param spread the maximum time for the leaving mark to reach all daemons
+ * @param linger how long the daemon keeps running after the last request has ended, so
+ * that a caller that lost the end of its answer can still fetch it
+ * @param limit the time after which the daemon shuts down even with requests unfinished
  */
 public record LeaveTimes(Duration keepFor, Duration spread, Duration linger, Duration limit) {
 
@@ -24,15 +24,16 @@
 
 	public LeaveTimes {
 		if (limit.compareTo(keepFor.plus(spread).plus(linger)) <= 0) {
-			throw new IllegalArgumentException("limit of a planned stop must exceed the "
-					+ keepFor.plus(spread).plus(linger) + " for which callers keep addresses, was " + limit);
+			throw new IllegalArgumentException(
+					"limit of a planned stop must exceed the " + keepFor.plus(spread).plus(linger)
+							+ " of address caching, propagation and linger time, was " + limit);
 		}
 	}
 
 	/**
-	 * The usual times.
-	 * @param keepFor how long callers keep address answers
-	 * @return the times
+	 * The default durations for a given cache time of address answers.
+	 * @param keepFor how long callers cache address answers
+	 * @return the durations
 	 */
 	public static LeaveTimes forKeptAddresses(Duration keepFor) {
 		return new LeaveTimes(keepFor, DEFAULT_SPREAD, DEFAULT_LINGER, DEFAULT_LIMIT);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/address/RendezvousAddressBook.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/address/RendezvousAddressBook.java
@@ -17,24 +17,25 @@
 import org.bramleyscale.internal.membership.MembershipView;
 
 /**
- * Gives each client account the entries that rank first for it.
+ * Selects the entries of each client account by rendezvous hashing.
  *
  * <p>
- * Invariants: any two daemons with the same view give the same answer, so that an
- * account's limits and request records meet on few daemons; a leaving or dead entry is in
- * no answer made after the view changed; a suspect entry stands behind all alive ones; an
- * answer with more than one entry names at least two data centres if two have alive
- * entries. Confined to the scheduler's thread.
+ * Invariants: any two daemons with the same membership view and configuration give the
+ * same answer, so that an account's limits and request records are concentrated on few
+ * daemons; a leaving or dead entry is in no answer computed after the view changed; a
+ * suspect entry ranks behind all alive ones; an answer with more than one entry includes
+ * at least two data centres if two have alive entries. Confined to the scheduler's
+ * thread.
  */
 public final class RendezvousAddressBook implements AddressBook {
 
-	/** How long callers may keep an answer unless set otherwise. */
+	/** How long callers may cache an answer by default. */
 	public static final Duration DEFAULT_KEEP_FOR = Duration.ofSeconds(10);
 
-	/** How many entries an account gets whose rule doesn't say. */
+	/** The number of entries of an account whose rule doesn't set one. */
 	public static final int DEFAULT_ENTRIES = 2;
 
-	private static final int MOST_CACHED = 20_000;
+	private static final int MAX_CACHED = 20_000;
 
 	private final MembershipView membership;
 
@@ -61,7 +62,7 @@
 			return cached;
 		}
 		AddressAnswer answer = compute(account);
-		if (this.cache.size() >= MOST_CACHED) {
+		if (this.cache.size() >= MAX_CACHED) {
 			this.cache.clear();
 		}
 		this.cache.put(account, answer);
@@ -70,12 +71,12 @@
 
 	private AddressAnswer compute(ClientAccountId account) {
 		List<Member> ranked = rank(account);
-		List<Member> chosen = new ArrayList<>(ranked.subList(0, Math.min(count(account), ranked.size())));
-		spread(chosen, ranked);
-		return new AddressAnswer(chosen.stream().map(RendezvousAddressBook::entry).toList(), this.keepFor);
+		List<Member> selected = new ArrayList<>(ranked.subList(0, Math.min(entryCount(account), ranked.size())));
+		ensureSecondDataCentre(selected, ranked);
+		return new AddressAnswer(selected.stream().map(RendezvousAddressBook::entry).toList(), this.keepFor);
 	}
 
-	private int count(ClientAccountId account) {
+	private int entryCount(ClientAccountId account) {
 		Optional<AccountRule> rule = this.configuration.current().account(account);
 		return rule.map(AccountRule::entries).filter((entries) -> entries > 0).orElse(DEFAULT_ENTRIES);
 	}
@@ -92,24 +93,24 @@
 	}
 
 	/**
-	 * Puts an entry of another data centre in the last place if all are of one. An
-	 * account whose entries all stand in one data centre would lose every address at once
-	 * when that data centre is cut off.
-	 * @param chosen the entries chosen
+	 * Replaces the last entry by one of another data centre if all are in the same one.
+	 * An account with all entries in one data centre would lose every address at once if
+	 * that data centre were partitioned.
+	 * @param selected the selected entries
 	 * @param ranked all entries in rank order
 	 */
-	private void spread(List<Member> chosen, List<Member> ranked) {
+	private void ensureSecondDataCentre(List<Member> selected, List<Member> ranked) {
 		Set<DataCentre> dataCentres = new HashSet<>();
-		chosen.forEach((member) -> dataCentres.add(member.dataCentre()));
-		if (chosen.size() < 2 || dataCentres.size() > 1) {
+		selected.forEach((member) -> dataCentres.add(member.dataCentre()));
+		if (selected.size() < 2 || dataCentres.size() > 1) {
 			return;
 		}
-		int last = chosen.size() - 1;
+		int last = selected.size() - 1;
 		ranked.stream()
 			.filter((member) -> !dataCentres.contains(member.dataCentre()))
-			.filter((member) -> member.state().compareTo(chosen.get(last).state()) <= 0)
+			.filter((member) -> member.state().compareTo(selected.get(last).state()) <= 0)
 			.findFirst()
-			.ifPresent((member) -> chosen.set(last, member));
+			.ifPresent((member) -> selected.set(last, member));
 	}
 
 	private static AddressAnswer.Entry entry(Member member) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/address/RendezvousHash.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/address/RendezvousHash.java
@@ -12,13 +12,13 @@
 import com.google.common.hash.Hashing;
 
 /**
- * Rendezvous hashing: ranks members for a key by a hash of both.
+ * Rendezvous hashing: ranks members for a key by the hash of key and member name.
  *
  * <p>
- * Invariants: the ranking depends on the names alone, neither on the order of members nor
- * on the process; removing a member moves only the keys that it ranked first for, and
- * adding one moves only the keys that it ranks first for. Immutable and safe for use by
- * multiple threads. <pre>
+ * Invariants: the ranking depends only on the key and the names, not on the order of
+ * members or on the process; removing a member moves only the keys for which it ranked
+ * first, and adding one moves only the keys for which it ranks first. Immutable and safe
+ * for use by multiple threads. <pre>
  * RendezvousHash&lt;Member&gt; hash = new RendezvousHash&lt;&gt;((member) -&gt; member.vm().value());
  * Optional&lt;Member&gt; owner = hash.owner("account-7", members);
  * </pre>
@@ -34,8 +34,9 @@
 	private final Function<? super T, String> name;
 
 	/**
-	 * Makes a ranking.
-	 * @param name the name of a member; different members must have different names
+	 * Creates a ranking.
+	 * @param name returns the name of a member; different members must have different
+	 * names
 	 */
 	public RendezvousHash(Function<? super T, String> name) {
 		this.name = name;
@@ -59,10 +60,10 @@
 	}
 
 	/**
-	 * All members, the one that ranks first for a key at the front.
+	 * All members in rank order for a key.
 	 * @param key the key
 	 * @param members the members in any order
-	 * @return the members in rank order
+	 * @return the members, the one that ranks first at the front
 	 */
 	public List<T> ranked(String key, Collection<? extends T> members) {
 		List<Scored<T>> scored = new ArrayList<>(members.size());
@@ -79,7 +80,7 @@
 	 * The members that rank first for a key.
 	 * @param key the key
 	 * @param members the members in any order
-	 * @param count how many to return at most
+	 * @param count the maximum number of members to return
 	 * @return the members in rank order
 	 */
 	public List<T> first(String key, Collection<? extends T> members, int count) {
@@ -99,7 +100,8 @@
 	}
 
 	/**
-	 * A member with its score for one key; greater scores come first, names break ties.
+	 * A member with its score for one key; greater unsigned scores rank first, names
+	 * break ties.
 	 *
 	 * @param <T> the type of member
 	 * @param member the member
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/address/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/address/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which entries a client account should call.
+ * Selection of the entries that a client account calls, and the planned stop of an entry.
  */
 package org.bramleyscale.internal.address;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/address/LeavePlanTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/address/LeavePlanTests.java
@@ -29,12 +29,11 @@
 			TIMES);
 
 	/**
-	 * Symptom: callers get refusals during a planned stop. Sequence: a daemon is told to
-	 * stop while callers still hold its address. Cause: refusing before the last answer
-	 * that names it has expired.
+	 * Guards against refusals of requests during a planned stop. The failure occurs if a
+	 * daemon refuses requests before the last cached answer with its address has expired.
 	 */
 	@Test
-	void itAcceptsAsLongAsCallersMayHoldItsAddress() {
+	void acceptsRequestsUntilCachedAddressesHaveExpired() {
 		this.plan.begin();
 		Truth.assertThat(this.recorder.steps).containsExactly("announce");
 		this.scheduler.advance(Duration.ofMillis(12_999));
@@ -48,11 +47,11 @@
 	}
 
 	/**
-	 * Symptom: a planned stop cuts a stream. Sequence: the daemon ends while a request is
-	 * unfinished. Cause: ending by time instead of by the last request.
+	 * Guards against a planned stop that interrupts a stream. The failure occurs if the
+	 * daemon shuts down after a fixed time instead of after the last request.
 	 */
 	@Test
-	void itEndsOnceNothingIsUnfinished() {
+	void endsAfterTheLastRequestAndTheLingerTime() {
 		this.recorder.unfinished = 1;
 		this.plan.begin();
 		this.scheduler.advance(Duration.ofSeconds(40));
@@ -68,7 +67,7 @@
 	}
 
 	@Test
-	void theLimitEndsItWithRequestsUnfinished() {
+	void endsAtTheLimitWithRequestsUnfinished() {
 		this.recorder.unfinished = 1;
 		this.plan.begin();
 		this.scheduler.advance(Duration.ofSeconds(61));
@@ -76,7 +75,7 @@
 	}
 
 	@Test
-	void beginningTwiceChangesNothing() {
+	void secondBeginHasNoEffect() {
 		this.plan.begin();
 		this.scheduler.advance(Duration.ofSeconds(14));
 		this.plan.begin();
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/address/RendezvousAddressBookTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/address/RendezvousAddressBookTests.java
@@ -33,7 +33,7 @@
 
 	private final FixedConfiguration configuration = new FixedConfiguration();
 
-	private final RendezvousAddressBook book = new RendezvousAddressBook(this.view, this.configuration,
+	private final RendezvousAddressBook addressBook = new RendezvousAddressBook(this.view, this.configuration,
 			Duration.ofSeconds(10));
 
 	RendezvousAddressBookTests() {
@@ -45,7 +45,7 @@
 	@Test
 	void anAccountWithoutARuleGetsTwoEntriesInTwoDataCentres() {
 		for (int i = 0; i < 200; i++) {
-			AddressAnswer answer = this.book.addresses(new ClientAccountId("account-" + i));
+			AddressAnswer answer = this.addressBook.addresses(new ClientAccountId("account-" + i));
 			Truth.assertThat(answer.keepFor()).isEqualTo(Duration.ofSeconds(10));
 			Truth.assertThat(answer.entries()).hasSize(2);
 			Truth.assertThat(Set.of(dataCentre(answer, 0), dataCentre(answer, 1))).hasSize(2);
@@ -54,14 +54,14 @@
 
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 5, 9, 50 })
-	void theRuleSaysHowManyEntries(int entries) {
+	void accountRuleSetsTheNumberOfEntries(int entries) {
 		this.configuration.set(entries);
-		Truth.assertThat(this.book.addresses(ACCOUNT).entries()).hasSize(Math.min(entries, 9));
+		Truth.assertThat(this.addressBook.addresses(ACCOUNT).entries()).hasSize(Math.min(entries, 9));
 	}
 
 	@Test
 	void anEntryNamesAddressAndIncarnation() {
-		AddressAnswer.Entry first = this.book.addresses(ACCOUNT).entries().get(0);
+		AddressAnswer.Entry first = this.addressBook.addresses(ACCOUNT).entries().get(0);
 		Member member = this.view.members.stream()
 			.filter((candidate) -> candidate.httpAddress().equals(first.address()))
 			.findFirst()
@@ -72,35 +72,36 @@
 	@ParameterizedTest
 	@EnumSource(names = { "LEAVING", "DEAD" })
 	void aLeavingOrDeadEntryIsDroppedAtOnce(Member.State state) {
-		String first = this.book.addresses(ACCOUNT).entries().get(0).address();
+		String first = this.addressBook.addresses(ACCOUNT).entries().get(0).address();
 		this.view.change(first, state);
-		for (AddressAnswer.Entry entry : this.book.addresses(ACCOUNT).entries()) {
+		for (AddressAnswer.Entry entry : this.addressBook.addresses(ACCOUNT).entries()) {
 			Truth.assertThat(entry.address()).isNotEqualTo(first);
 		}
 	}
 
 	@Test
-	void aSuspectEntryStandsBehindAliveOnes() {
-		String first = this.book.addresses(ACCOUNT).entries().get(0).address();
+	void suspectEntryRanksBehindAliveOnes() {
+		String first = this.addressBook.addresses(ACCOUNT).entries().get(0).address();
 		this.configuration.set(9);
 		this.view.change(first, Member.State.SUSPECT);
-		List<AddressAnswer.Entry> entries = this.book.addresses(ACCOUNT).entries();
+		List<AddressAnswer.Entry> entries = this.addressBook.addresses(ACCOUNT).entries();
 		Truth.assertThat(entries.get(8).address()).isEqualTo(first);
 	}
 
 	/**
-	 * Symptom: callers are sent to a data centre that doesn't answer. Sequence: all
-	 * entries of the other data centres turn suspect. Cause: spreading an answer over two
-	 * data centres at the price of naming a suspect entry while alive ones are left.
+	 * Guards against callers being directed to an unresponsive data centre. The failure
+	 * occurs when all entries of the other data centres are suspect and an answer
+	 * includes one of them for the sake of a second data centre although alive entries
+	 * are left.
 	 */
 	@Test
-	void aliveEntriesGoBeforeASecondDataCentre() {
+	void aliveEntriesArePreferredToASecondDataCentre() {
 		for (Member member : List.copyOf(this.view.members)) {
 			if (!member.dataCentre().value().equals("rawang")) {
 				this.view.change(member.httpAddress(), Member.State.SUSPECT);
 			}
 		}
-		AddressAnswer answer = this.book.addresses(ACCOUNT);
+		AddressAnswer answer = this.addressBook.addresses(ACCOUNT);
 		Truth.assertThat(List.of(dataCentre(answer, 0), dataCentre(answer, 1))).containsExactly("rawang", "rawang");
 	}
 
@@ -109,7 +110,7 @@
 		for (Member member : List.copyOf(this.view.members)) {
 			this.view.change(member.httpAddress(), Member.State.DEAD);
 		}
-		Truth.assertThat(this.book.addresses(ACCOUNT).entries()).isEmpty();
+		Truth.assertThat(this.addressBook.addresses(ACCOUNT).entries()).isEmpty();
 	}
 
 	private static String dataCentre(AddressAnswer answer, int index) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/address/RendezvousHashTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/address/RendezvousHashTests.java
@@ -47,20 +47,20 @@
 	}
 
 	/**
-	 * A member that goes must move its own keys alone, and each key that moves must go to
-	 * the member that ranked second for it.
+	 * Removing a member must move only its own keys, each to the member that ranked
+	 * second for it.
 	 */
 	@Test
-	void onlyTheKeysOfAMemberThatGoesMove() {
+	void removingAMemberMovesOnlyItsKeys() {
 		List<String> fewer = new ArrayList<>(this.members);
 		fewer.remove("entry-7");
 		int moved = 0;
 		for (int i = 0; i < KEYS; i++) {
 			List<String> before = this.hash.first("key-" + i, this.members, 2);
 			String after = this.hash.owner("key-" + i, fewer).orElseThrow();
-			boolean lost = before.get(0).equals("entry-7");
-			Truth.assertThat(after).isEqualTo(before.get(lost ? 1 : 0));
-			moved += lost ? 1 : 0;
+			boolean removedOwner = before.get(0).equals("entry-7");
+			Truth.assertThat(after).isEqualTo(before.get(removedOwner ? 1 : 0));
+			moved += removedOwner ? 1 : 0;
 		}
 		Truth.assertThat(moved).isIn(Range.closed(KEYS / 20 * 3 / 4, KEYS / 20 * 5 / 4));
 	}
@@ -77,8 +77,8 @@
 	}
 
 	/**
-	 * All daemons of a fleet must agree, also when they run different builds: these ranks
-	 * must never change.
+	 * All daemons of a fleet must compute the same ranks, even if they run different
+	 * builds, so these ranks must never change.
 	 */
 	@Test
 	void ranksArePartOfTheProtocol() {
