--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/HttpObjectStore.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/HttpObjectStore.java
@@ -24,9 +24,9 @@
  * The platform's object API over HTTP.
  *
  * <p>
- * Invariant: each call ends on the scheduler's thread within the timeout, a watch within
- * the timeout after its wait. A write or delete without a reply ends as
- * {@link PlatformException.Kind#UNKNOWN_OUTCOME} unless the connection was never made.
+ * Invariant: each call completes on the scheduler's thread within the timeout, a watch
+ * within its wait plus the timeout. A write or delete without a valid reply fails with
+ * {@link PlatformException.Kind#UNKNOWN_OUTCOME} unless no connection was established.
  * Confined to the scheduler's thread.
  */
 public final class HttpObjectStore implements ObjectStore {
@@ -41,15 +41,15 @@
 
 	private final MetricRegistry metrics;
 
-	private long freshUntil;
+	private long bypassPoolUntil;
 
 	/**
 	 * Creates the adapter.
 	 * @param scheduler the daemon's scheduler
 	 * @param execution the shared HTTP clients
 	 * @param address {@code host:port} of the platform
-	 * @param timeout how long a call may take
-	 * @param metrics takes a timer per operation and a counter per kind of failure
+	 * @param timeout the maximum duration of a call, without the wait of a watch
+	 * @param metrics records a timer per operation and a counter per kind of failure
 	 */
 	public HttpObjectStore(Scheduler scheduler, HttpExecution execution, String address, Duration timeout,
 			MetricRegistry metrics) {
@@ -61,7 +61,7 @@
 		this.base = URI.create("http://" + address + "/");
 		this.timeout = timeout;
 		this.metrics = metrics;
-		this.freshUntil = scheduler.nanos();
+		this.bypassPoolUntil = scheduler.nanos();
 	}
 
 	@Override
@@ -72,7 +72,8 @@
 	@Override
 	public CompletableFuture<WatchBatch> list(String kind) {
 		String path = PlatformPaths.OBJECTS + "/" + kind;
-		return call("list", Call.reading(path), (reply) -> PlatformCodec.readBatch(kind, reply.require().body()));
+		return call("list", Call.reading(path),
+				(reply) -> PlatformCodec.readBatch(kind, reply.requireSuccess().body()));
 	}
 
 	@Override
@@ -82,14 +83,14 @@
 					key + " with " + value.length + " bytes exceeds " + LARGEST_VALUE));
 		}
 		Call call = new Call(HttpMethod.PUT, conditional(key, expected), value, Duration.ZERO);
-		return call("write", call, (reply) -> new StoredObject(key, reply.require().version(), value));
+		return call("write", call, (reply) -> new StoredObject(key, reply.requireSuccess().version(), value));
 	}
 
 	@Override
 	public CompletableFuture<Void> delete(ObjectKey key, long expected) {
 		Call call = new Call(HttpMethod.DELETE, conditional(key, expected), new byte[0], Duration.ZERO);
 		return call("delete", call, (reply) -> {
-			reply.require();
+			reply.requireSuccess();
 			return null;
 		});
 	}
@@ -99,25 +100,26 @@
 		String path = PlatformPaths.OBJECTS + "/" + kind + "?" + PlatformPaths.AFTER + "=" + after + "&"
 				+ PlatformPaths.WAIT_MILLIS + "=" + wait.toMillis();
 		Call call = new Call(HttpMethod.GET, path, new byte[0], wait);
-		return call("watch", call, (reply) -> PlatformCodec.readBatch(kind, reply.require().body()));
+		return call("watch", call, (reply) -> PlatformCodec.readBatch(kind, reply.requireSuccess().body()));
 	}
 
 	@Override
 	public CompletableFuture<List<VmRecord>> vms() {
-		return call("vms", Call.reading(PlatformPaths.VMS), (reply) -> PlatformCodec.readVms(reply.require().body()));
+		return call("vms", Call.reading(PlatformPaths.VMS),
+				(reply) -> PlatformCodec.readVms(reply.requireSuccess().body()));
 	}
 
 	private <T> CompletableFuture<T> call(String operation, Call call, Decoder<T> decoder) {
-		long sent = this.scheduler.nanos();
+		long sentAt = this.scheduler.nanos();
 		CompletableFuture<T> result = new CompletableFuture<>();
-		Duration limit = this.timeout.plus(call.hold());
+		Duration limit = this.timeout.plus(call.watchWait());
 		HttpClient client = client();
 		this.execution.call(limit, () -> {
 			URI uri = this.base.resolve(call.path());
 			return client.request(uri, request(call, limit)).map(Reply::of);
 		}).whenComplete((reply, failure) -> {
-			Duration took = Duration.ofNanos(this.scheduler.nanos() - sent);
-			this.metrics.timer("platform." + operation).update(took);
+			Duration duration = Duration.ofNanos(this.scheduler.nanos() - sentAt);
+			this.metrics.timer("platform." + operation).update(duration);
 			complete(result, call, decoder, reply, failure);
 		});
 		return result;
@@ -127,7 +129,7 @@
 			Throwable failure) {
 		try {
 			if (failure != null) {
-				throw failed(call, failure);
+				throw toException(call, failure);
 			}
 			result.complete(decoder.decode(reply));
 		}
@@ -136,40 +138,41 @@
 			result.completeExceptionally(ex);
 		}
 		catch (IOException | RuntimeException ex) {
-			result.completeExceptionally(unanswered(call, "a reply that can't be read: " + ex.getMessage()));
+			result.completeExceptionally(noValidReply(call, "malformed reply: " + ex.getMessage()));
 		}
 	}
 
-	private PlatformException failed(Call call, Throwable failure) {
+	private PlatformException toException(Call call, Throwable failure) {
 		if (failure instanceof ConnectException) {
 			return new PlatformException(PlatformException.Kind.UNAVAILABLE,
 					call + " could not connect: " + failure.getMessage());
 		}
 		if (failure instanceof TimeoutException) {
-			avoidPool();
+			bypassPool();
 		}
-		return unanswered(call, failure.toString());
+		return noValidReply(call, failure.toString());
 	}
 
-	private static PlatformException unanswered(Call call, String reason) {
-		PlatformException.Kind kind = (call.changes()) ? PlatformException.Kind.UNKNOWN_OUTCOME
+	private static PlatformException noValidReply(Call call, String reason) {
+		PlatformException.Kind kind = (call.modifies()) ? PlatformException.Kind.UNKNOWN_OUTCOME
 				: PlatformException.Kind.UNAVAILABLE;
-		return new PlatformException(kind, call + " brought no reply: " + reason);
+		return new PlatformException(kind, call + " got no valid reply: " + reason);
 	}
 
 	/**
-	 * Leaves the pooled connections alone for a while.
+	 * Bypasses the connection pool for twice the pool's idle timeout.
 	 * <p>
-	 * A pooled connection may have gone silent: each call over it would time out again
-	 * while the platform is well, which shows as a row of timeouts on one daemon only.
-	 * Twice the pool's idle timeout is enough for it to drop its connections.
+	 * A pooled connection may have become unresponsive: each call over it would time out
+	 * again although the platform is available, so that one daemon alone would see
+	 * consecutive timeouts. Twice the idle timeout is enough for the pool to close its
+	 * connections.
 	 */
-	private void avoidPool() {
-		this.freshUntil = this.scheduler.nanos() + this.execution.poolIdleTimeout().multipliedBy(2).toNanos();
+	private void bypassPool() {
+		this.bypassPoolUntil = this.scheduler.nanos() + this.execution.poolIdleTimeout().multipliedBy(2).toNanos();
 	}
 
 	private HttpClient client() {
-		boolean fresh = this.scheduler.nanos() - this.freshUntil < 0;
+		boolean fresh = this.scheduler.nanos() - this.bypassPoolUntil < 0;
 		return (fresh) ? this.execution.freshClient() : this.execution.client();
 	}
 
@@ -188,7 +191,7 @@
 		if (reply.status() == Reply.NOT_FOUND) {
 			return Optional.empty();
 		}
-		reply.require();
+		reply.requireSuccess();
 		return Optional.of(new StoredObject(key, reply.version(), reply.body()));
 	}
 
@@ -201,7 +204,7 @@
 	}
 
 	/**
-	 * Makes a result of a reply.
+	 * Decodes a reply into a result.
 	 *
 	 * @param <T> the type of the result
 	 */
@@ -214,14 +217,19 @@
 
 	/**
 	 * One call to the platform.
+	 *
+	 * @param method the HTTP method
+	 * @param path the path with the query, relative to the base address
+	 * @param body the request body, empty if there is none
+	 * @param watchWait the wait of a watch, zero for other calls
 	 */
-	private record Call(HttpMethod method, String path, byte[] body, Duration hold) {
+	private record Call(HttpMethod method, String path, byte[] body, Duration watchWait) {
 
 		static Call reading(String path) {
 			return new Call(HttpMethod.GET, path, new byte[0], Duration.ZERO);
 		}
 
-		boolean changes() {
+		boolean modifies() {
 			return !this.method.isGet();
 		}
 
@@ -233,7 +241,8 @@
 	}
 
 	/**
-	 * The parts of a response that outlive its buffer.
+	 * The status, version header and body of a response, copied since its buffer is
+	 * released.
 	 */
 	private record Reply(int status, String versionText, byte[] body) {
 
@@ -256,19 +265,19 @@
 			return Long.parseLong(this.versionText);
 		}
 
-		Reply require() throws PlatformException {
+		Reply requireSuccess() throws PlatformException {
 			switch (this.status) {
 				case 200, 204 -> {
 					return this;
 				}
-				case CONFLICT -> throw refused(PlatformException.Kind.CONFLICT);
-				case TOO_LARGE -> throw refused(PlatformException.Kind.TOO_LARGE);
-				case TOO_MANY, UNAVAILABLE -> throw refused(PlatformException.Kind.UNAVAILABLE);
-				default -> throw new IllegalStateException("status " + this.status);
+				case CONFLICT -> throw error(PlatformException.Kind.CONFLICT);
+				case TOO_LARGE -> throw error(PlatformException.Kind.TOO_LARGE);
+				case TOO_MANY, UNAVAILABLE -> throw error(PlatformException.Kind.UNAVAILABLE);
+				default -> throw new IllegalStateException("unexpected status " + this.status);
 			}
 		}
 
-		private PlatformException refused(PlatformException.Kind kind) {
+		private PlatformException error(PlatformException.Kind kind) {
 			String text = new String(this.body, StandardCharsets.UTF_8);
 			return new PlatformException(kind, "status " + this.status + ": " + text);
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/ObjectKey.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/ObjectKey.java
@@ -13,7 +13,8 @@
 			throw new IllegalArgumentException("object kind '" + kind + "' must be lower-case letters, digits and '-'");
 		}
 		if (!name.matches("[A-Za-z0-9._:~-]+")) {
-			throw new IllegalArgumentException("object name '" + name + "' has a character that needs quoting");
+			throw new IllegalArgumentException(
+					"object name '" + name + "' may only contain letters, digits, '.', '_', ':', '~' and '-'");
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/ObjectStore.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/ObjectStore.java
@@ -6,16 +6,17 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's object API: the only place where anything lasts or is agreed.
+ * The platform's object API, which is the only durable storage and the only means of
+ * agreement between daemons.
  *
  * <p>
  * Futures complete on the daemon's scheduler thread, normally or with a
- * {@link PlatformException}; each completes within the adapter's timeout. Every call, a
- * waiting watch included, counts against the platform's rate.
+ * {@link PlatformException}; each completes within the adapter's timeout. Every call,
+ * including a watch that waits, counts against the platform's rate limit.
  */
 public interface ObjectStore {
 
-	/** The largest value the platform takes, in bytes. */
+	/** The maximum size of a value, in bytes. */
 	int LARGEST_VALUE = 1_000_000;
 
 	/**
@@ -33,8 +34,8 @@
 	CompletableFuture<WatchBatch> list(String kind);
 
 	/**
-	 * Reads all objects of a kind as they were at some moment of the last seconds, for a
-	 * fraction of the price where the platform offers that.
+	 * Reads all objects of a kind as of some moment within the last seconds, at a
+	 * fraction of the cost where the platform supports it.
 	 * @param kind the kind
 	 * @return the objects and the revision from which a watch continues
 	 */
@@ -46,7 +47,7 @@
 	 * Writes an object if the stored version is the expected one.
 	 * @param key the key
 	 * @param value the new value, at most {@link #LARGEST_VALUE} bytes
-	 * @param expected the version it must have now; 0 means it must not exist
+	 * @param expected the expected stored version; 0 means that the object must not exist
 	 * @return the object as stored
 	 */
 	CompletableFuture<StoredObject> write(ObjectKey key, byte[] value, long expected);
@@ -54,22 +55,23 @@
 	/**
 	 * Deletes an object if the stored version is the expected one.
 	 * @param key the key
-	 * @param expected the version it must have now
-	 * @return completes once deleted
+	 * @param expected the expected stored version
+	 * @return completes once the object is deleted
 	 */
 	CompletableFuture<Void> delete(ObjectKey key, long expected);
 
 	/**
-	 * Waits for changes of a kind.
+	 * Waits for changes to objects of a kind.
 	 * @param kind the kind
 	 * @param after the revision to continue from
-	 * @param wait how long the platform may hold the call when nothing changes
+	 * @param wait the maximum time for which the platform holds the call if nothing
+	 * changes
 	 * @return the changes, possibly none
 	 */
 	CompletableFuture<WatchBatch> watch(String kind, long after, Duration wait);
 
 	/**
-	 * Reads the lagging list of VMs.
+	 * Reads the list of VMs, which may lag behind their actual state.
 	 * @return the VMs
 	 */
 	CompletableFuture<List<VmRecord>> vms();
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/PlatformCodec.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/PlatformCodec.java
@@ -11,11 +11,11 @@
 import org.bramleyscale.VmId;
 
 /**
- * The JSON form of the platform's lists.
+ * Encodes and decodes the platform's lists as JSON.
  *
  * <p>
- * Values are base64. Fields that this version doesn't know are ignored, so that the
- * platform may add some. Stateless and safe for use by multiple threads.
+ * Values are base64-encoded. Unknown fields are ignored, so that the platform can add
+ * fields. Stateless and safe for use by multiple threads.
  */
 public final class PlatformCodec {
 
@@ -35,10 +35,10 @@
 
 	/**
 	 * Reads the objects of one kind.
-	 * @param kind the kind that was asked for
+	 * @param kind the kind that was requested
 	 * @param json the document
 	 * @return the batch
-	 * @throws IOException if the document has another form
+	 * @throws IOException if the document is malformed
 	 */
 	public static WatchBatch readBatch(String kind, byte[] json) throws IOException {
 		BatchDocument document = mapper.readValue(json, BatchDocument.class);
@@ -67,7 +67,7 @@
 			return mapper.writeValueAsBytes(document);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("A platform document could not be written", ex);
+			throw new IllegalStateException("Could not encode platform document as JSON", ex);
 		}
 	}
 
@@ -93,7 +93,7 @@
 	}
 
 	/**
-	 * The JSON form of a line of the list of VMs.
+	 * The JSON form of an entry in the list of VMs.
 	 */
 	private record VmDocument(String vm, String dataCentre, String peerAddress, String httpAddress, boolean leaving) {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/PlatformException.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/PlatformException.java
@@ -6,7 +6,7 @@
 import org.bramleyscale.Step;
 
 /**
- * A call to the platform's object API that brought no result.
+ * Thrown if a call to the platform's object API failed or its outcome is unknown.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
@@ -28,17 +28,19 @@
 	}
 
 	/**
-	 * What the caller knows about the call's effect.
+	 * The kind of failure, which tells whether the call took effect.
 	 */
 	public enum Kind {
 
-		/** Another version is stored; nothing was changed. */
+		/** The stored version isn't the expected one; nothing was changed. */
 		CONFLICT,
 
-		/** The platform said that it is down or too busy; nothing was changed. */
+		/**
+		 * The platform was unreachable or overloaded, or a read failed; nothing was changed.
+		 */
 		UNAVAILABLE,
 
-		/** No reply came; the change may or may not have taken effect. */
+		/** No valid reply was received; the change may or may not have taken effect. */
 		UNKNOWN_OUTCOME,
 
 		/** The value exceeds the platform's limit; nothing was changed. */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/PlatformPaths.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/PlatformPaths.java
@@ -14,16 +14,16 @@
 	/** The list of VMs: {@code vms}. */
 	public static final String VMS = "vms";
 
-	/** The version that a conditional call expects. */
+	/** The stored version that a conditional call expects. */
 	public static final String EXPECTED = "expected";
 
 	/** The revision after which a watch continues. */
 	public static final String AFTER = "after";
 
-	/** How long a watch may wait, in milliseconds. */
+	/** The maximum wait of a watch, in milliseconds. */
 	public static final String WAIT_MILLIS = "waitMillis";
 
-	/** Carries an object's version in a reply. */
+	/** The header with an object's version in a reply. */
 	public static final String VERSION_HEADER = "Object-Version";
 
 	private PlatformPaths() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/StoredObject.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/StoredObject.java
@@ -1,11 +1,12 @@
 package org.bramleyscale.internal.platform;
 
 /**
- * One object as the platform holds it.
+ * An object stored by the platform.
  *
  * @param key the key
- * @param version the object's version, 1 at its creation, one more at each change
- * @param value the bytes, at most a megabyte; callers must not modify them
+ * @param version the object's version, 1 at its creation and incremented at each change
+ * @param value the bytes, at most {@link ObjectStore#LARGEST_VALUE}; callers must not
+ * modify them
  */
 public record StoredObject(ObjectKey key, long version, byte[] value) {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/VmRecord.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/VmRecord.java
@@ -4,13 +4,13 @@
 import org.bramleyscale.VmId;
 
 /**
- * One line of the platform's lagging list of VMs.
+ * An entry in the platform's list of VMs, which may lag behind their actual state.
  *
  * @param vm the VM
- * @param dataCentre where it runs
+ * @param dataCentre the data centre in which it runs
  * @param peerAddress {@code host:port} on which its daemon listens for peers
  * @param httpAddress {@code host:port} on which its daemon listens for callers
- * @param leaving true once the platform plans to take the VM away
+ * @param leaving true once the platform plans to remove the VM
  */
 public record VmRecord(VmId vm, DataCentre dataCentre, String peerAddress, String httpAddress, boolean leaving) {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/WatchBatch.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/WatchBatch.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * What one waiting watch brought.
+ * The result of one watch or list call.
  *
  * @param revision the revision to continue from
- * @param gap true if changes between the asked revision and this batch were lost, so that
- * the watcher must list the kind anew
- * @param changed the objects changed, in order of change
- * @param deleted the names of the objects deleted; none of them is among the changed
+ * @param gap true if changes between the requested revision and this batch were lost, so
+ * that the watcher must list the kind again
+ * @param changed the changed objects, in order of change
+ * @param deleted the names of the deleted objects, none of which is among the changed
+ * ones
  */
 public record WatchBatch(long revision, boolean gap, List<StoredObject> changed, List<String> deleted) {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The platform's object API as a port, with its adapters.
+ * The platform's object API: interface and HTTP client.
  */
 package org.bramleyscale.internal.platform;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/settings/NameSuggestion.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/settings/NameSuggestion.java
@@ -5,38 +5,39 @@
 import java.util.Locale;
 
 /**
- * Finds the known name that a mistyped one was probably meant to be.
+ * Suggests the known name that is closest to an unknown one.
  *
  * <p>
  * Stateless and safe for use by multiple threads.
  */
 public final class NameSuggestion {
 
-	private static final int MOST_EDITS = 3;
+	private static final int MAX_EDITS = 3;
 
 	private NameSuggestion() {
 	}
 
 	/**
-	 * A phrase that names the closest known name.
+	 * A phrase that suggests the closest known name.
 	 * @param given the unknown name
 	 * @param known the known names
-	 * @return for example {@code ; did you mean 'vm'?}, or nothing if no name is close
+	 * @return for example {@code ; did you mean 'vm'?}, or an empty string if no name is
+	 * close enough
 	 */
 	public static String phrase(String given, Collection<String> known) {
 		return known.stream()
 			.min(Comparator.comparingInt((name) -> distance(given, name)))
-			.filter((name) -> distance(given, name) <= mostEdits(name))
+			.filter((name) -> distance(given, name) <= maxEdits(name))
 			.map((name) -> "; did you mean '" + name + "'?")
 			.orElse("");
 	}
 
-	private static int mostEdits(String name) {
-		return Math.min(MOST_EDITS, (name.length() + 1) / 2);
+	private static int maxEdits(String name) {
+		return Math.min(MAX_EDITS, (name.length() + 1) / 2);
 	}
 
-	// Levenshtein distance that takes neither case nor separators into account, so that
-	// data_centre is as close to dataCentre as it looks.
+	// Levenshtein distance that ignores case and separators, so that data_centre and
+	// dataCentre have distance 0.
 	private static int distance(String given, String known) {
 		String left = normalize(given);
 		String right = normalize(known);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/settings/SettingsLoader.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/settings/SettingsLoader.java
@@ -24,7 +24,7 @@
 import org.bramleyscale.SettingsProblem;
 
 /**
- * Loads settings from YAML and reports everything that is wrong with a file at once.
+ * Loads settings from YAML and reports all problems of a document at once.
  *
  * <p>
  * Safe for use by multiple threads. <pre>
@@ -46,27 +46,27 @@
 		.reader();
 
 	/**
-	 * Loads a file.
+	 * Loads settings from a file.
 	 * @param file the file
 	 * @return the settings
-	 * @throws SettingsException with all that is wrong
+	 * @throws SettingsException if the settings are invalid, with all problems
 	 */
 	public Settings load(Path file) throws SettingsException {
 		return parse(read(file, "settings file"));
 	}
 
 	/**
-	 * Loads a document.
-	 * @param yaml the document
+	 * Loads settings from a document.
+	 * @param yaml the YAML document
 	 * @return the settings
-	 * @throws SettingsException with all that is wrong
+	 * @throws SettingsException if the settings are invalid, with all problems
 	 */
 	public Settings parse(String yaml) throws SettingsException {
 		List<SettingsProblem> problems = new ArrayList<>();
 		Settings.Builder builder = Settings.builder();
-		Map<String, String> texts = flatten(readTree(yaml), problems);
-		texts.forEach((name, text) -> set(builder, name, text, problems));
-		readKeyFile(builder, texts, problems);
+		Map<String, String> values = flatten(readTree(yaml), problems);
+		values.forEach((name, text) -> set(builder, name, text, problems));
+		readKeyFile(builder, values, problems);
 		builder.problems().stream().filter((problem) -> !reported(problem.key(), problems)).forEach(problems::add);
 		if (!problems.isEmpty()) {
 			throw new SettingsException(problems);
@@ -92,23 +92,24 @@
 	}
 
 	private static Map<String, String> flatten(JsonNode root, List<SettingsProblem> problems) {
-		Map<String, String> texts = new LinkedHashMap<>();
-		root.fields().forEachRemaining((field) -> flatten(field.getKey(), field.getValue(), texts, problems));
-		return texts;
+		Map<String, String> values = new LinkedHashMap<>();
+		root.fields().forEachRemaining((field) -> flatten(field.getKey(), field.getValue(), values, problems));
+		return values;
 	}
 
-	private static void flatten(String name, JsonNode node, Map<String, String> texts, List<SettingsProblem> problems) {
+	private static void flatten(String name, JsonNode node, Map<String, String> values,
+			List<SettingsProblem> problems) {
 		if (node.isObject()) {
 			node.fields()
-				.forEachRemaining((field) -> flatten(name + "." + field.getKey(), field.getValue(), texts, problems));
+				.forEachRemaining((field) -> flatten(name + "." + field.getKey(), field.getValue(), values, problems));
 		}
 		else if (node.isArray()) {
 			List<String> items = new ArrayList<>();
 			node.forEach((item) -> items.add(item.asText()));
-			texts.put(name, String.join(",", items));
+			values.put(name, String.join(",", items));
 		}
 		else {
-			texts.put(name, node.isNull() ? "" : node.asText());
+			values.put(name, node.isNull() ? "" : node.asText());
 		}
 	}
 
@@ -126,12 +127,12 @@
 		}
 	}
 
-	private void readKeyFile(Settings.Builder builder, Map<String, String> texts, List<SettingsProblem> problems) {
-		String file = texts.get(SettingKey.PEER_KEY_FILE.name());
+	private void readKeyFile(Settings.Builder builder, Map<String, String> values, List<SettingsProblem> problems) {
+		String file = values.get(SettingKey.PEER_KEY_FILE.name());
 		if (file == null || reported(SettingKey.PEER_KEY_FILE.name(), problems)) {
 			return;
 		}
-		if (texts.containsKey(SettingKey.PEER_KEY.name())) {
+		if (values.containsKey(SettingKey.PEER_KEY.name())) {
 			problems
 				.add(new SettingsProblem(SettingKey.PEER_KEY_FILE.name(), file, "either this or peerKey, not both"));
 			return;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/settings/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/settings/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reading the settings file.
+ * Loading and validation of the settings file.
  */
 package org.bramleyscale.internal.settings;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/time/Cancellable.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/time/Cancellable.java
@@ -1,13 +1,13 @@
 package org.bramleyscale.internal.time;
 
 /**
- * Something scheduled or running that can be called off.
+ * A scheduled or running operation that can be cancelled.
  */
 @FunctionalInterface
 public interface Cancellable {
 
 	/**
-	 * Calls it off; calling again has no effect.
+	 * Cancels the operation; further calls have no effect.
 	 */
 	void cancel();
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/time/Clock.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/time/Clock.java
@@ -3,12 +3,12 @@
 import java.time.Instant;
 
 /**
- * The time as decisions see it.
+ * A source of monotonic time and of the time of day.
  *
  * <p>
  * {@link #nanos()} never steps and is the only source for expiry and deadlines.
- * {@link #wallTime()} may step and is only shown to people. Implementations are safe for
- * use by multiple threads.
+ * {@link #wallTime()} may step and is only for display. Implementations are safe for use
+ * by multiple threads.
  */
 public interface Clock {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/time/EventLoop.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/time/EventLoop.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 
 /**
- * The scheduler of a running daemon: a thread of its own.
+ * The scheduler of a running daemon, which runs its tasks on a dedicated thread.
  *
  * <p>
  * Safe for use by multiple threads.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/time/ExecutorScheduler.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/time/ExecutorScheduler.java
@@ -9,12 +9,12 @@
 import org.jboss.logging.Logger;
 
 /**
- * A scheduler on an executor with one thread and on the machine's clocks.
+ * A scheduler based on a single-threaded executor and the system clocks.
  *
  * <p>
- * Invariant: an exception in one task is logged and never ends the thread; a daemon whose
- * thread has ended would keep its connections open and answer nobody. Safe for use by
- * multiple threads.
+ * Invariant: an exception in one task is logged and never terminates the thread; a daemon
+ * whose thread has terminated would keep its connections open without answering any
+ * request. Safe for use by multiple threads.
  */
 public abstract class ExecutorScheduler implements Scheduler, AutoCloseable {
 
@@ -27,8 +27,8 @@
 	}
 
 	/**
-	 * Whether tasks are dropped since the scheduler has been closed.
-	 * @return true from the closing on
+	 * Whether the scheduler has been closed and drops new tasks.
+	 * @return true once closed
 	 */
 	protected abstract boolean closed();
 
@@ -65,7 +65,7 @@
 				task.run();
 			}
 			catch (RuntimeException ex) {
-				logger.error("A task of the event loop failed", ex);
+				logger.error("Task of the event loop failed", ex);
 			}
 		};
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/time/ManualScheduler.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/time/ManualScheduler.java
@@ -5,10 +5,10 @@
 import java.util.PriorityQueue;
 
 /**
- * A scheduler whose time moves only when it is told to.
+ * A scheduler whose time advances only on request.
  *
  * <p>
- * Used by focused tests and by the measurement programs. <pre>
+ * Used by unit tests and benchmarks. <pre>
  * ManualScheduler scheduler = new ManualScheduler();
  * scheduler.schedule(Duration.ofSeconds(1), task);
  * scheduler.advance(Duration.ofSeconds(1)); // runs the task
@@ -27,7 +27,7 @@
 
 	private long wallOffset;
 
-	private long submitted;
+	private long nextSequence;
 
 	@Override
 	public long nanos() {
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	 * Steps the time of day without moving the monotonic time.
+	 * Steps the time of day without advancing the monotonic time.
 	 * @param step the step, in either direction
 	 */
 	public void stepWallTime(Duration step) {
@@ -54,14 +54,14 @@
 
 	@Override
 	public Cancellable schedule(Duration delay, Runnable task) {
-		Entry entry = new Entry(this.now + Math.max(0, delay.toNanos()), this.submitted++, task);
+		Entry entry = new Entry(this.now + Math.max(0, delay.toNanos()), this.nextSequence++, task);
 		this.queue.add(entry);
 		return () -> entry.cancelled = true;
 	}
 
 	/**
-	 * Moves the time forward and runs each task at its due time.
-	 * @param span how far to move
+	 * Advances the time and runs each task at its due time.
+	 * @param span the time to advance by
 	 */
 	public void advance(Duration span) {
 		long end = this.now + span.toNanos();
@@ -76,14 +76,14 @@
 	}
 
 	/**
-	 * Runs what is due now without moving the time.
+	 * Runs the tasks that are due now without advancing the time.
 	 */
 	public void runDue() {
 		advance(Duration.ZERO);
 	}
 
 	/**
-	 * The task queue's order: due time, then submission.
+	 * A queued task, ordered by due time, then by submission.
 	 */
 	private static final class Entry implements Comparable<Entry> {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/time/Repetition.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/time/RepeatingTask.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * A task that schedules itself again after each run.
+ * A task that is rescheduled after each run, with a fixed delay.
  *
  * <p>
  * Confined to the scheduler's thread, except for {@link #cancel()}.
  */
-final class Repetition implements Cancellable {
+final class RepeatingTask implements Cancellable {
 
 	private final Scheduler scheduler;
 
-	private final Duration pause;
+	private final Duration delay;
 
 	private final Runnable task;
 
@@ -21,14 +21,14 @@
 	private volatile Cancellable next = () -> {
 	};
 
-	Repetition(Scheduler scheduler, Duration pause, Runnable task) {
+	RepeatingTask(Scheduler scheduler, Duration delay, Runnable task) {
 		this.scheduler = scheduler;
-		this.pause = pause;
+		this.delay = delay;
 		this.task = task;
 	}
 
-	Repetition start() {
-		this.next = this.scheduler.schedule(this.pause, this::run);
+	RepeatingTask start() {
+		this.next = this.scheduler.schedule(this.delay, this::run);
 		return this;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/time/Scheduler.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/time/Scheduler.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * The single thread on which all of a daemon's state is read and written.
+ * Runs tasks on the single thread on which all of a daemon's state is accessed.
  *
  * <p>
  * Invariant: tasks run one at a time, in the order of their due times and, for equal due
  * times, in the order of submission. {@link #execute} and {@link #schedule} may be called
- * from any thread; slices call their own state only from tasks.
+ * from any thread; components access their state only from tasks.
  */
 public interface Scheduler extends Clock {
 
@@ -27,14 +27,14 @@
 	Cancellable schedule(Duration delay, Runnable task);
 
 	/**
-	 * Runs a task again and again with a fixed pause between the end of one run and the
-	 * start of the next.
-	 * @param pause the pause, which also precedes the first run
+	 * Runs a task repeatedly, with a fixed delay between the end of one run and the start
+	 * of the next.
+	 * @param delay the delay, which also precedes the first run
 	 * @param task the task; must not block
-	 * @return a handle that ends the repetition
+	 * @return a handle that stops the repetition
 	 */
-	default Cancellable repeat(Duration pause, Runnable task) {
-		return new Repetition(this, pause, task).start();
+	default Cancellable repeat(Duration delay, Runnable task) {
+		return new RepeatingTask(this, delay, task).start();
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/time/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/time/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Time and the daemon's single thread, as ports and implementations.
+ * Clock and scheduler of the daemon's single thread: interfaces and implementations.
  */
 package org.bramleyscale.internal.time;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/platform/PartialStore.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/platform/PartialStore.java
@@ -6,8 +6,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A store of which a test plays a part. The other calls fail, since the code under test
- * must not make them.
+ * Base of object stores that implement only the operations which a test needs. The others
+ * throw {@link UnsupportedOperationException}, since the code under test must not call
+ * them.
  */
 public interface PartialStore extends ObjectStore {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/settings/SettingsLoaderTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/settings/SettingsLoaderTests.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests of the settings loader and of the table of settings.
+ * Tests of {@link SettingsLoader} and of the definitions in {@link SettingKey}.
  */
 class SettingsLoaderTests {
 
 	private static final String HASH = "0123456789abcdef".repeat(4);
 
-	private static final String GOOD = """
+	private static final String VALID = """
 			vm: entry-1
 			dataCentre: rawang
 			httpAddress: 127.0.0.1:8080
@@ -39,8 +39,8 @@
 	private final SettingsLoader loader = new SettingsLoader();
 
 	@Test
-	void readsAGoodFileAndFillsInDefaults() throws SettingsException {
-		Settings settings = this.loader.parse(GOOD + KEY
+	void readsAValidFileAndFillsInDefaults() throws SettingsException {
+		Settings settings = this.loader.parse(VALID + KEY
 				+ "leaseDuration: 20 s\nlimits:\n  maxBodyBytes: 1MB\nseedPeers: [entry-2/rawang/127.0.0.1:1]\n");
 		Truth.assertThat(settings.vm()).isEqualTo(new VmId("entry-1"));
 		Truth.assertThat(settings.leaseDuration()).isEqualTo(Duration.ofSeconds(20));
@@ -51,18 +51,19 @@
 	}
 
 	@Test
-	void aKeyForLookingAndAnOpenStatusPageAreChoices() throws SettingsException {
-		Settings usual = this.loader.parse(GOOD + KEY);
-		Truth.assertThat(usual.value(SettingKey.OPERATOR_READ_KEY_HASH)).isNull();
-		Truth.assertThat(usual.value(SettingKey.OPEN_STATUS_PAGE)).isFalse();
-		Settings chosen = this.loader.parse(GOOD + KEY + "operatorReadKeyHash: " + HASH + "\nopenStatusPage: true\n");
-		Truth.assertThat(chosen.value(SettingKey.OPERATOR_READ_KEY_HASH)).isEqualTo(HASH);
-		Truth.assertThat(chosen.value(SettingKey.OPEN_STATUS_PAGE)).isTrue();
+	void readKeyAndOpenStatusPageAreOptional() throws SettingsException {
+		Settings defaults = this.loader.parse(VALID + KEY);
+		Truth.assertThat(defaults.value(SettingKey.OPERATOR_READ_KEY_HASH)).isNull();
+		Truth.assertThat(defaults.value(SettingKey.OPEN_STATUS_PAGE)).isFalse();
+		Settings configured = this.loader
+			.parse(VALID + KEY + "operatorReadKeyHash: " + HASH + "\nopenStatusPage: true\n");
+		Truth.assertThat(configured.value(SettingKey.OPERATOR_READ_KEY_HASH)).isEqualTo(HASH);
+		Truth.assertThat(configured.value(SettingKey.OPEN_STATUS_PAGE)).isTrue();
 	}
 
 	@Test
 	void reportsAllErrorsAtOnce() {
-		String yaml = GOOD.replace("vm: entry-1", "wm: entry-1").replace("8080", "99999")
+		String yaml = VALID.replace("vm: entry-1", "wm: entry-1").replace("8080", "99999")
 				+ "peerKey: short-secret\ntimeouts: {conect: 1s, drain: soon}\nlimits.retryBudget: 2\n";
 		List<SettingsProblem> problems = problems(yaml);
 		Truth.assertThat(problems.stream().map(SettingsProblem::key).toList())
@@ -94,9 +95,9 @@
 			limits.maxRequests     | many
 			limits.retryBudget     | NaN
 			""")
-	void refusesAValue(String key, String value) {
+	void rejectsAnInvalidValue(String key, String value) {
 		String line = key + ": '" + value + "'\n";
-		String yaml = (GOOD + KEY).replaceAll("(?m)^" + key + ":.*\n", "") + line;
+		String yaml = (VALID + KEY).replaceAll("(?m)^" + key + ":.*\n", "") + line;
 		List<SettingsProblem> problems = problems(yaml);
 		Truth.assertThat(problems).hasSize(1);
 		Truth.assertThat(problems.get(0).key()).isEqualTo(key);
@@ -110,21 +111,21 @@
 			'- a'        | document
 			''           | document
 			""")
-	void refusesABrokenDocument(String yaml, String key) {
+	void rejectsAMalformedDocument(String yaml, String key) {
 		Truth.assertThat(problems(yaml.replace("\\n", "\n")).get(0).key()).isEqualTo(key);
 	}
 
 	@Test
 	void readsThePeerKeyFromItsFile(@TempDir Path directory) throws IOException, SettingsException {
 		Path file = Files.writeString(directory.resolve("key"), "abcdefghijklmnopq\n");
-		Truth.assertThat(this.loader.parse(GOOD + "peerKeyFile: " + file).peerKey()).isEqualTo("abcdefghijklmnopq");
-		Truth.assertThat(problems(GOOD + KEY + "peerKeyFile: " + file).get(0).key()).isEqualTo("peerKeyFile");
-		Truth.assertThat(problems(GOOD + "peerKeyFile: " + directory.resolve("none")).get(0).key())
+		Truth.assertThat(this.loader.parse(VALID + "peerKeyFile: " + file).peerKey()).isEqualTo("abcdefghijklmnopq");
+		Truth.assertThat(problems(VALID + KEY + "peerKeyFile: " + file).get(0).key()).isEqualTo("peerKeyFile");
+		Truth.assertThat(problems(VALID + "peerKeyFile: " + directory.resolve("none")).get(0).key())
 			.isEqualTo("peerKeyFile");
 	}
 
 	@Test
-	void eachDefaultIsAllowedAndEachKeyDocumented() {
+	void defaultsAreValidAndKeysAreDocumented() {
 		for (SettingKey<?> key : SettingKey.all()) {
 			key.defaultText().filter((text) -> !text.isEmpty()).ifPresent(key::parse);
 			Truth.assertThat(key.description()).isNotEmpty();
@@ -139,7 +140,7 @@
 		catch (SettingsException ex) {
 			return ex.problems();
 		}
-		throw new AssertionError("accepted: " + yaml);
+		throw new AssertionError("invalid settings were accepted: " + yaml);
 	}
 
 }
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/time/PausableScheduler.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/time/PausableScheduler.java
@@ -6,18 +6,19 @@
 import java.util.List;
 
 /**
- * One daemon's share of a manual clock, which can stand still and be ended. What falls
- * due meanwhile runs when it goes on. Confined to the test's thread.
+ * The scheduler of one simulated daemon on a shared manual clock, which can be paused and
+ * crashed. Tasks that fall due while it is paused run on resumption; after a crash none
+ * runs. Confined to the test's thread.
  */
 public final class PausableScheduler implements Scheduler {
 
 	private final ManualScheduler clock;
 
-	private final List<Runnable> held = new ArrayList<>();
+	private final List<Runnable> deferred = new ArrayList<>();
 
 	private boolean paused;
 
-	private boolean ended;
+	private boolean crashed;
 
 	public PausableScheduler(ManualScheduler clock) {
 		this.clock = clock;
@@ -29,13 +30,13 @@
 
 	public void resume() {
 		this.paused = false;
-		List<Runnable> due = new ArrayList<>(this.held);
-		this.held.clear();
+		List<Runnable> due = new ArrayList<>(this.deferred);
+		this.deferred.clear();
 		due.forEach(this::run);
 	}
 
 	public void crash() {
-		this.ended = true;
+		this.crashed = true;
 	}
 
 	@Override
@@ -60,9 +61,9 @@
 
 	private void run(Runnable task) {
 		if (this.paused) {
-			this.held.add(task);
+			this.deferred.add(task);
 		}
-		else if (!this.ended) {
+		else if (!this.crashed) {
 			task.run();
 		}
 	}
