--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseValue.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseValue.java
@@ -42,7 +42,7 @@
 			return mapper.writeValueAsBytes(this);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("Could not encode lease " + this, ex);
+			throw new IllegalStateException("Could not encode lease " + this + " as JSON", ex);
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/PlatformException.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/PlatformException.java
@@ -36,7 +36,8 @@
 		CONFLICT,
 
 		/**
-		 * The platform was unreachable or overloaded, or a read failed; nothing was changed.
+		 * The platform was unreachable or overloaded, or a read failed; nothing was
+		 * changed.
 		 */
 		UNAVAILABLE,
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/steward/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/steward/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Leased jobs: model loads, role changes, status summaries.
+ * Jobs that a single daemon runs under a lease: model loads.
  */
 package org.bramleyscale.internal.steward;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/steward/ModelLoadPlanTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/steward/ModelLoadPlanTests.java
@@ -117,10 +117,9 @@
 
 	@Test
 	void unloadsTheLastCopyWhenTheLoadElsewhereTimesOut() {
-		// Guards against a deadlock of two engines whose models the register swaps,
-		// without
-		// memory for both. The failure occurs if each keeps its last copy until the other
-		// has loaded its own.
+		// Guards against a deadlock of two engines without memory for both models when
+		// the register swaps their models. The failure occurs if each keeps its last copy
+		// until the other has loaded its own.
 		engine("e1", List.of("m2"), "m1");
 		engine("e2", List.of("m1"), "m2");
 		step();
