--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/AccessCheck.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/AccessCheck.java
@@ -14,14 +14,14 @@
 import org.bramleyscale.internal.configuration.ServiceEntry;
 
 /**
- * Whether a new request is allowed by the configuration in force.
+ * Checks new requests against the current configuration.
  *
  * <p>
- * Each refusal says that the request did not run. Confined to the scheduler's thread.
+ * Each refusal states that the request did not run. Confined to the scheduler's thread.
  */
 final class AccessCheck {
 
-	private static final Duration NOT_READY_PAUSE = Duration.ofSeconds(2);
+	private static final Duration NOT_READY_RETRY_AFTER = Duration.ofSeconds(2);
 
 	private final ConfigurationSource source;
 
@@ -31,14 +31,14 @@
 
 	/**
 	 * Checks a request.
-	 * @param work what is asked
-	 * @return the service asked for
-	 * @throws ServingException the refusal
+	 * @param work the requested work
+	 * @return the requested service
+	 * @throws ServingException if the request is refused
 	 */
 	ServiceEntry check(Work work) throws ServingException {
 		if (!this.source.fresh()) {
 			throw new ServingException(ErrorCode.NOT_READY, Ran.NO, Step.ADMIT, "self",
-					"this daemon does not know whether its configuration is in force", NOT_READY_PAUSE);
+					"this daemon can't confirm that its configuration is current", NOT_READY_RETRY_AFTER);
 		}
 		Configuration configuration = this.source.current();
 		ServiceEntry service = service(configuration, work);
@@ -47,22 +47,23 @@
 			checkModel(configuration, generation.request());
 		}
 		if (work.timeLeft().isNegative() || work.timeLeft().isZero()) {
-			throw refusal(ErrorCode.DEADLINE_TOO_SHORT, "no time is left: " + work.timeLeft());
+			throw refusal(ErrorCode.DEADLINE_TOO_SHORT,
+					"the request's deadline has passed; time left: " + work.timeLeft());
 		}
 		return service;
 	}
 
 	private static ServiceEntry service(Configuration configuration, Work work) throws ServingException {
 		ServiceName name = work.service();
-		ServiceEntry.Kind wanted = (work instanceof Work.Generation) ? ServiceEntry.Kind.MODEL
+		ServiceEntry.Kind expected = (work instanceof Work.Generation) ? ServiceEntry.Kind.MODEL
 				: ServiceEntry.Kind.PLAIN;
 		ServiceEntry service = configuration.service(name).orElse(null);
 		if (service == null) {
 			throw refusal(ErrorCode.UNKNOWN_SERVICE, "the register has no service '" + name + "'");
 		}
-		if (service.kind() != wanted) {
+		if (service.kind() != expected) {
 			throw refusal(ErrorCode.UNKNOWN_SERVICE,
-					"service '" + name + "' is of kind " + service.kind() + ", not " + wanted);
+					"service '" + name + "' is of kind " + service.kind() + ", not " + expected);
 		}
 		return service;
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/AnswerSink.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/AnswerSink.java
@@ -5,17 +5,18 @@
 import org.bramleyscale.internal.endpoint.EngineUsage;
 
 /**
- * Takes a generated answer on its way to one caller.
+ * Receives the parts of a generated answer for one caller.
  *
  * <p>
- * Called on the scheduler's thread. Invariant: offsets are contiguous from the one asked
- * for; exactly one of {@code completed} and {@code failed} is called, and nothing after.
+ * Called on the scheduler's thread. Invariant: offsets are contiguous, starting with the
+ * requested one; exactly one of {@code completed} and {@code failed} is called, and it is
+ * the last call.
  */
 public interface AnswerSink {
 
 	/**
-	 * The request is admitted under this id.
-	 * @param id the id under which the answer may be resumed
+	 * Called when the request is admitted.
+	 * @param id the id by which the answer can be resumed
 	 */
 	void admitted(RequestId id);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/Place.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/Assignment.java
@@ -7,14 +7,15 @@
 import org.bramleyscale.internal.endpoint.Permit;
 
 /**
- * The endpoint chosen for one attempt.
+ * The endpoint selected for one attempt, with the permits acquired for it.
  *
  * @param endpoint the endpoint
- * @param permits what is taken of grants for it
- * @param holds the hold ids of a group, as {@code endpoint=hold}, this endpoint's first
+ * @param permits the permits acquired for the attempt
+ * @param holds the hold ids of a group, as {@code endpoint=hold}, beginning with this
+ * endpoint's
  * @param predictedFirstToken predicted time to the first token, or null if unknown
  */
-record Place(EndpointEntry endpoint, List<Permit> permits, List<String> holds, Duration predictedFirstToken) {
+record Assignment(EndpointEntry endpoint, List<Permit> permits, List<String> holds, Duration predictedFirstToken) {
 
 	void firstToken() {
 		this.permits.forEach(Permit::firstTokenReceived);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RunListener.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/AttemptListener.java
@@ -6,28 +6,28 @@
 import org.bramleyscale.internal.endpoint.ServiceReply;
 
 /**
- * Takes what becomes of attempts.
+ * Receives the outcomes of attempts.
  *
  * <p>
  * Called on the scheduler's thread, at most once for each attempt.
  */
-interface RunListener {
+interface AttemptListener {
 
 	/**
-	 * The whole answer is in the record's log.
+	 * Called when the whole answer is in the record's log.
 	 * @param record the request
-	 * @param usage what the engine counted
-	 * @param fromStart whether this attempt made all of it
+	 * @param usage the token usage as counted by the engine
+	 * @param fromStart whether this attempt generated the whole answer
 	 */
 	void completed(RequestRecord record, EngineUsage usage, boolean fromStart);
 
 	void replied(RequestRecord record, ServiceReply reply);
 
 	/**
-	 * The attempt can't go on.
+	 * Called when the attempt can't continue.
 	 * @param record the request
-	 * @param endpoint where it was
-	 * @param failure says whether the attempt ran
+	 * @param endpoint the endpoint of the attempt
+	 * @param failure the failure, which states whether the attempt ran
 	 */
 	void attemptLost(RequestRecord record, EndpointEntry endpoint, ServingException failure);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/CallRunner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/CallRunner.java
@@ -14,7 +14,7 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Runs calls of plain services; each attempt is one call.
+ * Runs calls to plain services; each attempt is a single call.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -31,24 +31,24 @@
 
 	private final EndpointPool pool;
 
-	private final RunListener listener;
+	private final AttemptListener listener;
 
-	CallRunner(Clock clock, EngineClient client, EndpointPool pool, RunListener listener) {
+	CallRunner(Clock clock, EngineClient client, EndpointPool pool, AttemptListener listener) {
 		this.clock = clock;
 		this.client = client;
 		this.pool = pool;
 		this.listener = listener;
 	}
 
-	void start(RequestRecord record, PlainRequest request, Place place) {
-		Run run = new Run(record, place);
+	void start(RequestRecord record, PlainRequest request, Assignment assignment) {
+		Run run = new Run(record, assignment);
 		Duration timeLeft = Duration.ofNanos(record.deadline() - this.clock.nanos());
 		ServiceCall call = new ServiceCall(record.id(), request.method(), request.path(), request.headers(),
 				request.body(), timeLeft);
 		record.nextAttempt();
 		record.running(run);
 		record.life().apply(new LifeEvent.Sent());
-		this.client.call(place.endpoint(), call).whenComplete(run::ended);
+		this.client.call(assignment.endpoint(), call).whenComplete(run::ended);
 	}
 
 	/**
@@ -58,21 +58,21 @@
 
 		private final RequestRecord record;
 
-		private final Place place;
+		private final Assignment assignment;
 
 		private final long sentAt;
 
 		private boolean abandoned;
 
-		private Run(RequestRecord record, Place place) {
+		private Run(RequestRecord record, Assignment assignment) {
 			this.record = record;
-			this.place = place;
+			this.assignment = assignment;
 			this.sentAt = CallRunner.this.clock.nanos();
 		}
 
 		@Override
 		public String peer() {
-			return this.place.endpoint().name().toString();
+			return this.assignment.endpoint().name().toString();
 		}
 
 		@Override
@@ -83,8 +83,8 @@
 
 		private boolean overdue() {
 			long now = CallRunner.this.clock.nanos();
-			long whole = this.record.deadline() - this.record.receivedAt();
-			return now - this.record.deadline() >= 0 && 2 * (now - this.sentAt) >= whole;
+			long total = this.record.deadline() - this.record.receivedAt();
+			return now - this.record.deadline() >= 0 && 2 * (now - this.sentAt) >= total;
 		}
 
 		private void ended(ServiceReply reply, Throwable thrown) {
@@ -94,7 +94,7 @@
 			if (thrown != null) {
 				ServingException failure = Failures.of(thrown, Step.START, peer());
 				observe(null, true);
-				CallRunner.this.listener.attemptLost(this.record, this.place.endpoint(), failure);
+				CallRunner.this.listener.attemptLost(this.record, this.assignment.endpoint(), failure);
 				return;
 			}
 			boolean failed = reply.status() >= BAD_GATEWAY && reply.status() <= GATEWAY_TIMEOUT;
@@ -103,8 +103,8 @@
 		}
 
 		private void observe(Duration took, boolean failed) {
-			CallRunner.this.pool.recordAttempt(this.place.endpoint().name(),
-					new Observation(0, took, this.place.predictedFirstToken(), 0, Duration.ZERO, failed));
+			CallRunner.this.pool.recordAttempt(this.assignment.endpoint().name(),
+					new Observation(0, took, this.assignment.predictedFirstToken(), 0, Duration.ZERO, failed));
 		}
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/DefaultRequestService.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/DefaultRequestService.java
@@ -24,16 +24,17 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Takes callers' requests to the daemon that may start them, which is this one unless
- * their id says otherwise.
+ * Default {@link RequestService}, which runs a request on this daemon, or forwards it to
+ * its home daemon if another incarnation issued its id.
  *
  * <p>
  * Invariant: a request whose id was issued by another incarnation is never started here
- * unless it may be repeated and its home is gone. Confined to the scheduler's thread.
+ * unless it is repeatable and its home daemon has failed. Confined to the scheduler's
+ * thread.
  */
 public final class DefaultRequestService implements RequestService {
 
-	private static final Duration SWEEP_PAUSE = Duration.ofSeconds(1);
+	private static final Duration SWEEP_INTERVAL = Duration.ofSeconds(1);
 
 	private final MembershipView membership;
 
@@ -51,16 +52,16 @@
 		RequestSettings settings = builder.settings;
 		this.membership = ports.membership();
 		this.records = new RecordStore(ports.scheduler(), settings);
-		SpentIds spent = new SpentIds(settings.spentIds(), ports.random());
-		RequestFlow flow = new RequestFlow(ports, settings, metrics, this.records, spent);
+		UsedIds usedIds = new UsedIds(settings.spentIds(), ports.random());
+		RequestFlow flow = new RequestFlow(ports, settings, metrics, this.records, usedIds);
 		RequestIds ids = new RequestIds(this.membership.self());
-		this.local = new LocalRequests(ports, settings, metrics, new RequestParts(this.records, spent, ids, flow));
+		this.local = new LocalRequests(ports, settings, metrics, new RequestParts(this.records, usedIds, ids, flow));
 		this.outbound = new OutboundForwards(ports.scheduler(), ports.network(), this.membership, this.local, settings,
 				metrics);
 		InboundForwards inbound = new InboundForwards(ports.scheduler(), ports.network(), this.membership, this.local,
 				settings);
-		this.stateDump = new RequestDump(ports.scheduler(), this.records, spent, flow, this.outbound, inbound);
-		ports.scheduler().repeat(SWEEP_PAUSE, this.records::dropExpired);
+		this.stateDump = new RequestDump(ports.scheduler(), this.records, usedIds, flow, this.outbound, inbound);
+		ports.scheduler().repeat(SWEEP_INTERVAL, this.records::dropExpired);
 	}
 
 	public static Builder builder() {
@@ -69,7 +70,7 @@
 
 	@Override
 	public Cancellable generate(GenerateRequest request, AnswerSink sink) {
-		if (request.id().filter(this::foreign).isEmpty()) {
+		if (request.id().filter(this::isRemote).isEmpty()) {
 			return this.local.generate(request, new AnswerReader(sink, 0, false));
 		}
 		return this.outbound.generate(request, sink);
@@ -77,7 +78,7 @@
 
 	@Override
 	public Cancellable resume(RequestId id, ClientAccountId account, long offset, AnswerSink sink) {
-		if (!foreign(id)) {
+		if (!isRemote(id)) {
 			return this.local.attach(id, account, new AnswerReader(sink, offset, false));
 		}
 		return this.outbound.resume(id, account, offset, sink);
@@ -85,7 +86,7 @@
 
 	@Override
 	public void cancel(RequestId id, ClientAccountId account) {
-		if (foreign(id)) {
+		if (isRemote(id)) {
 			this.outbound.cancel(id, account);
 		}
 		else {
@@ -95,7 +96,7 @@
 
 	@Override
 	public Cancellable call(PlainRequest request, PlainSink sink) {
-		if (request.id().filter(this::foreign).isEmpty()) {
+		if (request.id().filter(this::isRemote).isEmpty()) {
 			return this.local.call(request, new PlainReader(sink, false));
 		}
 		return this.outbound.call(request, sink);
@@ -112,19 +113,19 @@
 	}
 
 	/**
-	 * The state for operators.
+	 * Returns the state dump for operators.
 	 * @return counts by state and the first requests, without prompts
 	 */
 	public StateDump stateDump() {
 		return this.stateDump;
 	}
 
-	private boolean foreign(RequestId id) {
-		return !id.issuer().equals(this.membership.self()) && !this.local.knows(id);
+	private boolean isRemote(RequestId id) {
+		return !id.issuer().equals(this.membership.self()) && !this.local.hasRecord(id);
 	}
 
 	/**
-	 * Collects what the service needs; not safe for use by multiple threads.
+	 * Builder of the service; not safe for use by multiple threads.
 	 */
 	public static final class Builder {
 
@@ -223,7 +224,7 @@
 		}
 
 		/**
-		 * Builds the service, which listens to its ports from now on.
+		 * Builds the service, registers its listeners and schedules its periodic tasks.
 		 * @return the service
 		 */
 		public DefaultRequestService build() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/Starter.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/DispatchListener.java
@@ -3,21 +3,21 @@
 import org.bramleyscale.ServingException;
 
 /**
- * Takes what the dispatcher decides.
+ * Receives the dispatcher's decisions.
  *
  * <p>
  * Called on the scheduler's thread.
  */
-interface Starter {
+interface DispatchListener {
 
 	/**
-	 * The request has its place and shall be sent.
+	 * Called when a request has its assignment and is to be sent.
 	 * @param record the request
 	 */
 	void start(RequestRecord record);
 
 	/**
-	 * No endpoint is left for a request that would have been retried.
+	 * Called when no endpoint is left for the retry of a request.
 	 * @param record the request
 	 */
 	void noEndpoint(RequestRecord record);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/DispatchPass.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/DispatchPass.java
@@ -12,25 +12,26 @@
 import org.bramleyscale.internal.routing.Candidate;
 
 /**
- * What one pass over the waiting requests has found out.
+ * State of one pass over the waiting requests.
  *
  * <p>
- * With hundreds of requests waiting, routing each of them at each event would take the
- * daemon's only thread. So a pass keeps the candidates until a permit is taken, doesn't
- * try a request that needs as much as one that found no room, and routes a bounded number
- * of requests. Lives for one pass on the scheduler's thread.
+ * With hundreds of requests waiting, routing each of them on each event would monopolize
+ * the daemon's only thread. A pass therefore caches the candidates until a permit is
+ * acquired, skips a request that needs at least as much memory as one that could not be
+ * placed, and evaluates a bounded number of requests. An instance is used for one pass on
+ * the scheduler's thread.
  */
 final class DispatchPass {
 
-	private static final int MOST_EVALUATIONS = 64;
+	private static final int MAX_EVALUATIONS = 64;
 
 	private final EndpointPool pool;
 
 	private final Map<Target, List<Candidate>> candidates = new HashMap<>();
 
-	private final Map<Demand, Long> noRoomFrom = new HashMap<>();
+	private final Map<Demand, Long> smallestUnplaceable = new HashMap<>();
 
-	private final List<RequestRecord> placed = new ArrayList<>();
+	private final List<RequestRecord> assigned = new ArrayList<>();
 
 	private int evaluations;
 
@@ -45,57 +46,57 @@
 				(target) -> this.pool.candidates(target.service, target.model));
 	}
 
-	boolean worthTrying(RequestRecord record) {
-		Long from = this.noRoomFrom.get(Demand.of(record));
-		if (from != null && record.placement().kvTokens() >= from) {
+	boolean shouldEvaluate(RequestRecord record) {
+		Long smallest = this.smallestUnplaceable.get(Demand.of(record));
+		if (smallest != null && record.placement().kvTokens() >= smallest) {
 			return false;
 		}
 		this.evaluations++;
-		return this.evaluations <= MOST_EVALUATIONS;
+		return this.evaluations <= MAX_EVALUATIONS;
 	}
 
-	void noRoom(RequestRecord record) {
+	void noCapacity(RequestRecord record) {
 		if (record.placement().excluded().isEmpty()) {
-			this.noRoomFrom.merge(Demand.of(record), record.placement().kvTokens(), Math::min);
+			this.smallestUnplaceable.merge(Demand.of(record), record.placement().kvTokens(), Math::min);
 		}
 	}
 
-	void took(RequestRecord record) {
+	void acquired(RequestRecord record) {
 		this.progress = true;
 		this.candidates.remove(new Target(record.service(), record.work().model()));
 	}
 
 	/**
-	 * Whether another pass could start more.
-	 * @return true if this pass started something and ran out of evaluations
+	 * Whether another pass could start more requests.
+	 * @return true if this pass started a request and reached the evaluation limit
 	 */
-	boolean cutShort() {
-		return this.progress && this.evaluations > MOST_EVALUATIONS;
+	boolean reachedLimit() {
+		return this.progress && this.evaluations > MAX_EVALUATIONS;
 	}
 
 	/**
-	 * Notes that a place was taken for a request which may yet not be the next.
+	 * Records that permits are held for a request that admission may not select next.
 	 * @param record the request
 	 */
-	void placed(RequestRecord record) {
-		this.placed.add(record);
+	void assigned(RequestRecord record) {
+		this.assigned.add(record);
 	}
 
 	/**
-	 * Gives back the places of requests that were tried but not chosen.
-	 * @param chosen the request that was chosen
+	 * Releases the permits of requests that were evaluated but not selected.
+	 * @param chosen the selected request
 	 */
 	void releaseOthers(RequestId chosen) {
-		for (RequestRecord record : this.placed) {
+		for (RequestRecord record : this.assigned) {
 			if (!record.id().equals(chosen)) {
-				record.placement().unplace();
+				record.placement().unassign();
 			}
 		}
-		this.placed.clear();
+		this.assigned.clear();
 	}
 
 	/**
-	 * What endpoints are asked of.
+	 * The service and model for which candidates are looked up.
 	 *
 	 * @param service the service
 	 * @param model the model, or null for a plain service
@@ -104,10 +105,10 @@
 	}
 
 	/**
-	 * Requests that compete for the same room.
+	 * Key of requests that compete for the same capacity.
 	 *
-	 * @param target what they ask of
-	 * @param urgent whether they may use the urgent reserve
+	 * @param target the service and model
+	 * @param urgent whether the requests may use the capacity reserved for urgent ones
 	 */
 	private record Demand(Target target, boolean urgent) {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/Dispatcher.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/Dispatcher.java
@@ -22,19 +22,19 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Brings admitted requests to endpoints, in the order that admission gives.
+ * Dispatches admitted requests to endpoints, in the order that admission determines.
  *
  * <p>
- * Many events can make room; each only asks for a pass, and one pass serves all that were
- * asked for since. A pass evaluates a bounded number of waiting requests. Invariant: a
- * request is started with a permit or a reservation in its placement. Confined to the
- * scheduler's thread.
+ * Many events can free capacity. Each only schedules a pass, and events that occur before
+ * the pass runs share it. A pass evaluates a bounded number of waiting requests.
+ * Invariant: a request is only started with a permit or a reservation in its placement.
+ * Confined to the scheduler's thread.
  */
 final class Dispatcher {
 
-	private static final Duration NO_ENDPOINT_PAUSE = Duration.ofSeconds(2);
+	private static final Duration NO_ENDPOINT_RETRY_AFTER = Duration.ofSeconds(2);
 
-	private static final Duration WANTED_AGAIN = Duration.ofSeconds(1);
+	private static final Duration CAPACITY_REQUEST_INTERVAL = Duration.ofSeconds(1);
 
 	private final Scheduler scheduler;
 
@@ -50,15 +50,15 @@
 
 	private final Reservations reservations;
 
-	private final Starter starter;
+	private final DispatchListener listener;
 
 	private final RecordStore records;
 
 	private final Deque<RequestRecord> retries = new ArrayDeque<>();
 
-	private boolean asked;
+	private boolean passScheduled;
 
-	Dispatcher(RequestPorts ports, RecordStore records, Starter starter) {
+	Dispatcher(RequestPorts ports, RecordStore records, DispatchListener listener) {
 		this.scheduler = ports.scheduler();
 		this.random = ports.random();
 		this.admission = ports.admission();
@@ -67,22 +67,22 @@
 		this.pool = ports.pool();
 		this.reservations = ports.reservations();
 		this.records = records;
-		this.starter = starter;
-		this.pool.onCapacityAvailable(this::askForPass);
-		this.scheduler.repeat(WANTED_AGAIN, this::askAgainIfWaiting);
+		this.listener = listener;
+		this.pool.onCapacityAvailable(this::schedulePass);
+		this.scheduler.repeat(CAPACITY_REQUEST_INTERVAL, this::schedulePassIfWaiting);
 	}
 
 	/**
-	 * Plans a request's placement and hands it to admission.
+	 * Plans a request's placement and submits the request to admission.
 	 * @param record the request
-	 * @throws ServingException the refusal
+	 * @throws ServingException if the request is refused
 	 */
 	void admit(RequestRecord record) throws ServingException {
 		record.placement(this.planner.plan(record.work()));
 		List<Candidate> candidates = this.pool.candidates(record.service(), record.work().model());
 		if (candidates.isEmpty()) {
 			throw new ServingException(ErrorCode.NO_ENDPOINT, Ran.NO, Step.ROUTE, "self",
-					"no endpoint of service '" + record.service() + "' can be used now", NO_ENDPOINT_PAUSE);
+					"no endpoint of service '" + record.service() + "' can be used now", NO_ENDPOINT_RETRY_AFTER);
 		}
 		this.planner.checkSize(record, candidates);
 		RoutingChoice choice = choose(record, candidates);
@@ -90,28 +90,30 @@
 	}
 
 	/**
-	 * Makes a request wait for another endpoint, before all that have not started yet.
+	 * Queues a request for another endpoint, ahead of all requests that have not been
+	 * started yet.
 	 * @param record the request
 	 */
 	void retry(RequestRecord record) {
 		this.retries.add(record);
-		askForPass();
+		schedulePass();
 	}
 
 	/**
-	 * Gives back what is held for a request that waits again or has ended.
+	 * Releases the permits and the reservation of a request that waits again or has
+	 * ended.
 	 * @param record the request
 	 */
 	void release(RequestRecord record) {
 		record.placement().release();
-		askForPass();
+		schedulePass();
 	}
 
 	/**
-	 * Forgets an ended request.
+	 * Removes an ended request and settles it with admission.
 	 * @param record the request
-	 * @param waited whether it still waited to be started
-	 * @param tokens what it used
+	 * @param waited whether it was still in the admission queue
+	 * @param tokens the tokens that it used
 	 */
 	void ended(RequestRecord record, boolean waited, long tokens) {
 		this.retries.remove(record);
@@ -125,38 +127,38 @@
 	}
 
 	/**
-	 * Asks for a pass over the waiting requests.
+	 * Schedules a pass over the waiting requests, unless one is already scheduled.
 	 */
-	void askForPass() {
-		if (this.asked) {
+	void schedulePass() {
+		if (this.passScheduled) {
 			return;
 		}
-		this.asked = true;
+		this.passScheduled = true;
 		this.scheduler.execute(this::pass);
 	}
 
 	private void pass() {
-		this.asked = false;
+		this.passScheduled = false;
 		DispatchPass pass = new DispatchPass(this.pool);
 		List.copyOf(this.retries).forEach((record) -> startRetry(record, pass));
 		boolean more = this.admission.waiting() > 0;
 		while (more) {
 			more = startNext(pass);
 		}
-		if (pass.cutShort()) {
-			askForPass();
+		if (pass.reachedLimit()) {
+			schedulePass();
 		}
 	}
 
 	private void startRetry(RequestRecord record, DispatchPass pass) {
 		if (candidates(record, pass).isEmpty()) {
 			this.retries.remove(record);
-			this.starter.noEndpoint(record);
+			this.listener.noEndpoint(record);
 			return;
 		}
 		if (startable(record, pass)) {
 			this.retries.remove(record);
-			this.starter.start(record);
+			this.listener.start(record);
 		}
 	}
 
@@ -166,7 +168,7 @@
 			return false;
 		}
 		pass.releaseOthers(next.get());
-		this.records.find(next.get()).ifPresent(this.starter::start);
+		this.records.find(next.get()).ifPresent(this.listener::start);
 		return true;
 	}
 
@@ -175,50 +177,51 @@
 		if (record.isEmpty() || !startable(record.get(), pass)) {
 			return false;
 		}
-		pass.placed(record.get());
+		pass.assigned(record.get());
 		return true;
 	}
 
 	private boolean startable(RequestRecord record, DispatchPass pass) {
 		Placement placement = record.placement();
 		if (placement.reserving()) {
-			return placeGroup(record);
+			return assignGroup(record);
 		}
-		if (!pass.worthTrying(record)) {
-			wanted(record);
+		if (!pass.shouldEvaluate(record)) {
+			requestCapacity(record);
 			return false;
 		}
 		List<Candidate> candidates = candidates(record, pass);
 		RoutingChoice choice = choose(record, candidates);
-		if (!choice.waits() && place(record, candidates.get(choice.index()), choice)) {
-			pass.took(record);
+		if (!choice.waits() && assign(record, candidates.get(choice.index()), choice)) {
+			pass.acquired(record);
 			return true;
 		}
-		if (Sizes.exceedsEach(placement.kvTokens(), candidates)) {
+		if (RoutingUtils.exceedsEveryCandidate(placement.kvTokens(), candidates)) {
 			reserve(record);
 		}
 		else {
-			wanted(record);
-			pass.noRoom(record);
+			requestCapacity(record);
+			pass.noCapacity(record);
 		}
 		return false;
 	}
 
 	/**
-	 * Tells the pool, at most once a second, that a request waits for room. Without this
-	 * an entry whose grants are too small for a long prompt would never get larger ones,
-	 * and the prompt would wait until its deadline beside idle engines.
+	 * Requests capacity for a waiting request from the pool, at most once a second.
+	 * Without this, an entry whose grants are too small for a long prompt would never
+	 * receive larger ones, and the prompt would wait until its deadline while engines are
+	 * idle.
 	 * @param record the request
 	 */
-	private void wanted(RequestRecord record) {
-		if (record.placement().mayMention(this.scheduler.nanos(), WANTED_AGAIN)) {
+	private void requestCapacity(RequestRecord record) {
+		if (record.placement().shouldRequestCapacity(this.scheduler.nanos(), CAPACITY_REQUEST_INTERVAL)) {
 			this.pool.requestCapacity(record.service(), record.work().model(), kvTokens(record));
 		}
 	}
 
-	private void askAgainIfWaiting() {
+	private void schedulePassIfWaiting() {
 		if (this.admission.waiting() > 0 || !this.retries.isEmpty()) {
-			askForPass();
+			schedulePass();
 		}
 	}
 
@@ -226,21 +229,21 @@
 		return (record.log() != null) ? record.placement().kvTokens() : 0;
 	}
 
-	private boolean place(RequestRecord record, Candidate candidate, RoutingChoice choice) {
+	private boolean assign(RequestRecord record, Candidate candidate, RoutingChoice choice) {
 		Placement placement = record.placement();
-		Duration predicted = Sizes.known(choice.predictedFirstTokenNanos());
+		Duration predicted = RoutingUtils.durationOrNull(choice.predictedFirstTokenNanos());
 		return this.pool.acquire(candidate.endpoint(), kvTokens(record), placement.promptTokens()).map((permit) -> {
-			placement.placed(new Place(permit.endpoint(), List.of(permit), List.of(), predicted));
+			placement.assign(new Assignment(permit.endpoint(), List.of(permit), List.of(), predicted));
 			return true;
 		}).orElse(false);
 	}
 
-	private boolean placeGroup(RequestRecord record) {
+	private boolean assignGroup(RequestRecord record) {
 		Placement placement = record.placement();
 		if (placement.group().isEmpty()) {
 			return false;
 		}
-		placement.placed(GroupPlace.of(placement, this.pool));
+		placement.assign(GroupAssignment.of(placement, this.pool));
 		return true;
 	}
 
@@ -250,8 +253,8 @@
 		placement.reserving(this.reservations.reserve(record.id(), record.service(), record.work().model(),
 				placement.kvTokens(), within, (group) -> {
 					placement.reserved(group);
-					askForPass();
-				}, (failure) -> this.starter.reservationFailed(record, failure)));
+					schedulePass();
+				}, (failure) -> this.listener.reservationFailed(record, failure)));
 	}
 
 	private RoutingChoice choose(RequestRecord record, List<Candidate> candidates) {
@@ -262,7 +265,7 @@
 	private List<Candidate> candidates(RequestRecord record, DispatchPass pass) {
 		ServiceName service = record.service();
 		List<Candidate> candidates = pass.candidates(service, record.work().model());
-		return Sizes.without(record.placement().excluded(), candidates);
+		return RoutingUtils.without(record.placement().excluded(), candidates);
 	}
 
 	private Duration timeLeft(RequestRecord record) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/Fingerprint.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/Fingerprint.java
@@ -10,21 +10,22 @@
 import com.google.common.hash.Hashing;
 
 /**
- * Hashes that tell requests and prompt beginnings apart.
+ * Computes hashes that identify requests and prompt prefixes.
  *
  * <p>
- * A prompt of megabytes is read once here, in blocks, so that no second copy of it is
- * made. Stateless and safe for use by multiple threads.
+ * A prompt, which may have several megabytes, is hashed in blocks to avoid a second copy
+ * of it. Stateless and safe for use by multiple threads.
  */
 final class Fingerprint {
 
 	/**
-	 * How much of a prompt decides about prefix affinity: long enough to tell system
-	 * prompts and manuals apart, short enough that a question behind them doesn't matter.
+	 * The number of leading characters of a prompt that determine prefix affinity: long
+	 * enough to distinguish system prompts and manuals, short enough to exclude the
+	 * question that follows them.
 	 */
 	static final int PREFIX_CHARS = 1024;
 
-	private static final int SHORTEST_PREFIX_CHARS = 256;
+	private static final int MIN_PREFIX_CHARS = 256;
 
 	private static final int BLOCK_CHARS = 32 * 1024;
 
@@ -35,25 +36,25 @@
 
 	static HashCode of(GenerateRequest request) {
 		Hasher hasher = FUNCTION.newHasher();
-		part(hasher, "generate");
-		part(hasher, request.account().value());
-		part(hasher, request.service().value());
-		part(hasher, request.model().value());
+		putString(hasher, "generate");
+		putString(hasher, request.account().value());
+		putString(hasher, request.service().value());
+		putString(hasher, request.model().value());
 		hasher.putInt(request.maxTokens());
-		part(hasher, request.prompt());
+		putString(hasher, request.prompt());
 		return hasher.hash();
 	}
 
 	static HashCode of(PlainRequest request) {
 		Hasher hasher = FUNCTION.newHasher();
-		part(hasher, "call");
-		part(hasher, request.account().value());
-		part(hasher, request.service().value());
-		part(hasher, request.method());
-		part(hasher, request.path());
+		putString(hasher, "call");
+		putString(hasher, request.account().value());
+		putString(hasher, request.service().value());
+		putString(hasher, request.method());
+		putString(hasher, request.path());
 		for (Map.Entry<String, String> header : new TreeMap<>(request.headers()).entrySet()) {
 			if (header.getKey().equalsIgnoreCase("content-type")) {
-				part(hasher, header.getValue());
+				putString(hasher, header.getValue());
 			}
 		}
 		hasher.putBytes(request.body());
@@ -61,9 +62,10 @@
 	}
 
 	/**
-	 * Hash of a prompt's beginning.
+	 * Returns the hash of a prompt's prefix.
 	 * @param prompt the prompt
-	 * @return the hash, or 0 if the prompt is too short to share anything worth it
+	 * @return the hash, or 0 if the prompt is too short for sharing its prefix to be
+	 * worthwhile
 	 */
 	static long prefix(String prompt) {
 		int length = prefixLength(prompt);
@@ -75,10 +77,10 @@
 
 	static int prefixLength(String prompt) {
 		int length = Math.min(prompt.length(), PREFIX_CHARS);
-		return length - length % SHORTEST_PREFIX_CHARS;
+		return length - length % MIN_PREFIX_CHARS;
 	}
 
-	private static void part(Hasher hasher, String text) {
+	private static void putString(Hasher hasher, String text) {
 		hasher.putInt(text.length());
 		int from = 0;
 		while (from < text.length()) {
@@ -90,8 +92,8 @@
 
 	private static int blockEnd(String text, int from) {
 		int end = Math.min(text.length(), from + BLOCK_CHARS);
-		boolean cutsPair = end < text.length() && Character.isHighSurrogate(text.charAt(end - 1));
-		return (cutsPair) ? end + 1 : end;
+		boolean splitsSurrogatePair = end < text.length() && Character.isHighSurrogate(text.charAt(end - 1));
+		return (splitsSurrogatePair) ? end + 1 : end;
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRun.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRun.java
@@ -15,27 +15,27 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * One attempt of a generation in flight: joins its record, its place and what is learnt
- * of the endpoint.
+ * One attempt of a generation in flight. Updates the request's record and reports
+ * observations of the endpoint to the pool.
  *
  * <p>
- * Invariant: the listener hears of one end at most, the pool of one observation. Confined
- * to the scheduler's thread.
+ * Invariant: the listener is notified of at most one end, and the pool receives at most
+ * one observation. Confined to the scheduler's thread.
  */
 final class GenerationRun implements AttemptOwner, RunningAttempt {
 
-	/** How long an engine is asked whether a lost attempt had begun. */
-	private static final Duration SETTLE = Duration.ofSeconds(1);
+	/** How long to wait for the engine to confirm whether a lost attempt had started. */
+	private static final Duration CANCEL_RESULT_TIMEOUT = Duration.ofSeconds(1);
 
-	private static final Duration OVERDUE_NOISE = Duration.ofMillis(200);
+	private static final Duration OVERDUE_MARGIN = Duration.ofMillis(200);
 
-	private static final Duration OVERDUE_AGAIN = Duration.ofMillis(500);
+	private static final Duration OVERDUE_INTERVAL = Duration.ofMillis(500);
 
 	private final GenerationRunner runner;
 
 	private final RequestRecord record;
 
-	private final Place place;
+	private final Assignment assignment;
 
 	private final int promptTokens;
 
@@ -57,10 +57,10 @@
 
 	private boolean ended;
 
-	GenerationRun(GenerationRunner runner, RequestRecord record, Place place) {
+	GenerationRun(GenerationRunner runner, RequestRecord record, Assignment assignment) {
 		this.runner = runner;
 		this.record = record;
-		this.place = place;
+		this.assignment = assignment;
 		this.promptTokens = record.placement().promptTokens();
 		this.firstOffset = record.log().next();
 		this.sentAt = scheduler().nanos();
@@ -69,15 +69,15 @@
 
 	void start(GenerationAttempt prepared) {
 		this.attempt = prepared;
-		if (this.place.predictedFirstToken() != null) {
-			this.overdue.start(this.place.predictedFirstToken().multipliedBy(2).plus(OVERDUE_NOISE));
+		if (this.assignment.predictedFirstToken() != null) {
+			this.overdue.start(this.assignment.predictedFirstToken().multipliedBy(2).plus(OVERDUE_MARGIN));
 		}
 		prepared.start();
 	}
 
 	@Override
 	public String peer() {
-		return this.place.endpoint().name().toString();
+		return this.assignment.endpoint().name().toString();
 	}
 
 	@Override
@@ -87,13 +87,13 @@
 			this.streaming = true;
 			this.firstTokenAt = now;
 			this.overdue.close();
-			this.place.firstToken();
+			this.assignment.firstToken();
 		}
 		this.lastTokenAt = now;
 		long offset = this.record.life().offset();
 		int tokens = Math.toIntExact(this.record.log().next() - offset);
 		this.record.life().apply(new LifeEvent.Frame(offset, tokens));
-		this.record.grew();
+		this.record.notifyGrowth();
 	}
 
 	@Override
@@ -117,7 +117,7 @@
 		this.lost = true;
 		end(this.promptTokens, true);
 		if (failure.ran() == Ran.UNKNOWN && !this.record.repeatable()) {
-			settle(failure);
+			awaitCancelResult(failure);
 			return;
 		}
 		if (failure.ran() != Ran.NO) {
@@ -130,44 +130,46 @@
 	public void abandon() {
 		if (!this.lost) {
 			this.attempt.close();
-			end(this.promptTokens, late());
+			end(this.promptTokens, firstTokenTimedOut());
 			cancelAtEngine();
 		}
 		this.ended = true;
 	}
 
-	private void settle(ServingException failure) {
-		// The cancel's answer tells whether the attempt ever began. A caller that is told
-		// "not run" can book again; one that is told "unknown" has to ask somebody.
-		scheduler().schedule(SETTLE, () -> report(failure));
+	private void awaitCancelResult(ServingException failure) {
+		// The result of the cancel shows whether the attempt ever started. After "not
+		// run" a caller can safely repeat its request; after "unknown" the outcome has to
+		// be checked by other means.
+		scheduler().schedule(CANCEL_RESULT_TIMEOUT, () -> report(failure));
 		this.runner.canceller()
-			.cancel(this.place.endpoint(), this.record.id(), this.attempt.number(), (result) -> report(
+			.cancel(this.assignment.endpoint(), this.record.id(), this.attempt.number(), (result) -> report(
 					Failures.withRan(failure, (result == CancelResult.NEVER_STARTED) ? Ran.NO : Ran.YES)));
 	}
 
 	private void report(ServingException failure) {
 		if (!this.ended) {
 			this.ended = true;
-			this.runner.listener().attemptLost(this.record, this.place.endpoint(), failure);
+			this.runner.listener().attemptLost(this.record, this.assignment.endpoint(), failure);
 		}
 	}
 
 	private void cancelAtEngine() {
-		this.runner.canceller().cancel(this.place.endpoint(), this.record.id(), this.attempt.number());
+		this.runner.canceller().cancel(this.assignment.endpoint(), this.record.id(), this.attempt.number());
 	}
 
 	private void onOverdue() {
-		Duration waited = Duration.ofNanos(scheduler().nanos() - this.sentAt);
-		this.runner.pool().recordOverdue(this.place.endpoint().name(), waited, this.place.predictedFirstToken());
-		this.overdue.start(OVERDUE_AGAIN);
+		Duration elapsed = Duration.ofNanos(scheduler().nanos() - this.sentAt);
+		this.runner.pool()
+			.recordOverdue(this.assignment.endpoint().name(), elapsed, this.assignment.predictedFirstToken());
+		this.overdue.start(OVERDUE_INTERVAL);
 	}
 
-	private boolean late() {
-		if (this.streaming || this.place.predictedFirstToken() == null) {
+	private boolean firstTokenTimedOut() {
+		if (this.streaming || this.assignment.predictedFirstToken() == null) {
 			return false;
 		}
-		long patience = this.place.predictedFirstToken().plus(this.runner.limits().silence()).toNanos();
-		return scheduler().nanos() - this.sentAt > patience;
+		long limit = this.assignment.predictedFirstToken().plus(this.runner.limits().silence()).toNanos();
+		return scheduler().nanos() - this.sentAt > limit;
 	}
 
 	private void end(int computedTokens, boolean failed) {
@@ -176,8 +178,8 @@
 		Duration stream = Duration.ofNanos(this.lastTokenAt - this.firstTokenAt);
 		int tokens = Math.toIntExact(this.record.log().next() - this.firstOffset);
 		this.runner.pool()
-			.recordAttempt(this.place.endpoint().name(), new Observation(computedTokens, firstToken,
-					this.place.predictedFirstToken(), tokens, stream, failed));
+			.recordAttempt(this.assignment.endpoint().name(), new Observation(computedTokens, firstToken,
+					this.assignment.predictedFirstToken(), tokens, stream, failed));
 	}
 
 	private Scheduler scheduler() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRunner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRunner.java
@@ -12,7 +12,7 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Starts attempts of generations.
+ * Starts attempts of generations and holds the collaborators that they share.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -37,10 +37,10 @@
 
 	private final RequestMetrics metrics;
 
-	private final RunListener listener;
+	private final AttemptListener listener;
 
 	GenerationRunner(Scheduler scheduler, EngineClient client, EndpointPool pool, CancelDriver canceller,
-			AttemptLimits limits, RequestMetrics metrics, RunListener listener) {
+			AttemptLimits limits, RequestMetrics metrics, AttemptListener listener) {
 		this.scheduler = scheduler;
 		this.client = client;
 		this.pool = pool;
@@ -50,13 +50,13 @@
 		this.listener = listener;
 	}
 
-	void start(RequestRecord record, GenerateRequest request, Place place) {
-		GenerationRun run = new GenerationRun(this, record, place);
-		EngineRequest order = order(record, request, place);
-		Duration predicted = (place.predictedFirstToken() != null) ? place.predictedFirstToken()
+	void start(RequestRecord record, GenerateRequest request, Assignment assignment) {
+		GenerationRun run = new GenerationRun(this, record, assignment);
+		EngineRequest engineRequest = engineRequest(record, request, assignment);
+		Duration predicted = (assignment.predictedFirstToken() != null) ? assignment.predictedFirstToken()
 				: this.limits.silence();
-		GenerationAttempt attempt = new GenerationAttempt(this.scheduler, this.client, this.limits, place.endpoint(),
-				order, predicted, record.log(), run);
+		GenerationAttempt attempt = new GenerationAttempt(this.scheduler, this.client, this.limits,
+				assignment.endpoint(), engineRequest, predicted, record.log(), run);
 		record.running(run);
 		record.life().apply(new LifeEvent.Sent());
 		run.start(attempt);
@@ -82,15 +82,15 @@
 		return this.metrics;
 	}
 
-	RunListener listener() {
+	AttemptListener listener() {
 		return this.listener;
 	}
 
-	private EngineRequest order(RequestRecord record, GenerateRequest request, Place place) {
+	private EngineRequest engineRequest(RequestRecord record, GenerateRequest request, Assignment assignment) {
 		Duration timeLeft = Duration.ofNanos(record.deadline() - this.scheduler.nanos());
 		return new EngineRequest(record.id(), record.nextAttempt(), request.model(), request.prompt(),
 				record.log().text(), record.log().next(), request.maxTokens(), priority(record.placement()), timeLeft,
-				place.holds());
+				assignment.holds());
 	}
 
 	private static int priority(Placement placement) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/LocalRequests.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/LocalRequests.java
@@ -20,19 +20,21 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * The requests whose home is here: started once, read by any number of callers, replayed.
+ * The requests whose home is this daemon. A request is started once, read by any number
+ * of callers, and replayed after it completed.
  *
  * <p>
- * Invariants: a not-repeatable id is started at most once; a reader hears of exactly one
- * end. A record that ended without having run may start again, since that is what its
- * caller was told. Confined to the scheduler's thread.
+ * Invariants: a not-repeatable request is started at most once per id, and a reader is
+ * notified of exactly one end. A request that ended without having run may be started
+ * again, since its caller was notified that it did not run. Confined to the scheduler's
+ * thread.
  */
 final class LocalRequests implements HomeRequests {
 
-	private static final Cancellable NOTHING = () -> {
+	private static final Cancellable NO_OP = () -> {
 	};
 
-	private static final Duration LEAVING_PAUSE = Duration.ofMillis(100);
+	private static final Duration LEAVING_RETRY_AFTER = Duration.ofMillis(100);
 
 	private final Scheduler scheduler;
 
@@ -42,7 +44,7 @@
 
 	private final RecordStore records;
 
-	private final SpentIds spent;
+	private final UsedIds usedIds;
 
 	private final RequestIds ids;
 
@@ -59,7 +61,7 @@
 		this.settings = settings;
 		this.metrics = metrics;
 		this.records = parts.records();
-		this.spent = parts.spent();
+		this.usedIds = parts.usedIds();
 		this.ids = parts.ids();
 		this.access = new AccessCheck(ports.configuration());
 		this.flow = parts.flow();
@@ -80,8 +82,8 @@
 	public Cancellable attach(RequestId id, ClientAccountId account, RecordReader reader) {
 		Optional<RequestRecord> record = this.records.find(id).filter((found) -> found.account().equals(account));
 		if (record.isEmpty()) {
-			reader.failed(unknown(id));
-			return NOTHING;
+			reader.failed(unknownRequest(id));
+			return NO_OP;
 		}
 		return attach(record.get(), reader);
 	}
@@ -103,7 +105,7 @@
 		return adopt(new Work.Call(request), request.id().orElseThrow(), null, reader);
 	}
 
-	boolean knows(RequestId id) {
+	boolean hasRecord(RequestId id) {
 		return this.records.find(id).isPresent();
 	}
 
@@ -115,16 +117,16 @@
 		return this.leaving;
 	}
 
-	private Cancellable adopt(Work work, RequestId old, AnswerLog delivered, RecordReader reader) {
+	private Cancellable adopt(Work work, RequestId oldId, AnswerLog delivered, RecordReader reader) {
 		if (!work.repeatable()) {
-			throw new IllegalArgumentException("request '" + old + "' may not be repeated");
+			throw new IllegalArgumentException("request '" + oldId + "' may not be repeated");
 		}
-		Optional<RequestRecord> known = this.records.find(old);
+		Optional<RequestRecord> known = this.records.find(oldId);
 		if (known.isPresent()) {
-			return again(known.get(), work, reader);
+			return attachOrRestart(known.get(), work, reader);
 		}
-		// Safe since the request may run more than once. The new id keeps frames that the
-		// lost home's attempts may still produce apart from the new ones.
+		// Safe because the request is repeatable. The new id distinguishes its frames
+		// from those that attempts of the failed home daemon may still produce.
 		RequestLife life = new RequestLife(Ran.UNKNOWN);
 		if (delivered != null) {
 			life.continueAt(delivered.next());
@@ -132,42 +134,42 @@
 		RequestRecord record = new RequestRecord(this.ids.next(), work, life, delivered, this.scheduler.nanos(), 0);
 		Cancellable handle = start(record, reader);
 		if (!record.life().ended()) {
-			this.records.alias(old, record.id());
+			this.records.alias(oldId, record.id());
 		}
 		return handle;
 	}
 
 	private Cancellable submit(Work work, Optional<RequestId> id, RecordReader reader) {
 		if (id.isEmpty()) {
-			return start(fresh(this.ids.next(), work, Ran.NO, 0), reader);
+			return start(newRecord(this.ids.next(), work, Ran.NO, 0), reader);
 		}
 		Optional<RequestRecord> known = this.records.find(id.get());
 		if (known.isPresent()) {
-			return again(known.get(), work, reader);
+			return attachOrRestart(known.get(), work, reader);
 		}
-		Optional<ServingException> used = used(id.get());
-		if (used.isPresent()) {
-			reader.failed(used.get());
-			return NOTHING;
+		Optional<ServingException> refusal = usedIdRefusal(id.get());
+		if (refusal.isPresent()) {
+			reader.failed(refusal.get());
+			return NO_OP;
 		}
-		return start(fresh(id.get(), work, Ran.NO, 0), reader);
+		return start(newRecord(id.get(), work, Ran.NO, 0), reader);
 	}
 
-	private RequestRecord fresh(RequestId id, Work work, Ran earlier, int attempts) {
+	private RequestRecord newRecord(RequestId id, Work work, Ran earlierRan, int attempts) {
 		AnswerLog log = (work instanceof Work.Generation) ? new AnswerLog() : null;
-		return new RequestRecord(id, work, new RequestLife(earlier), log, this.scheduler.nanos(), attempts);
+		return new RequestRecord(id, work, new RequestLife(earlierRan), log, this.scheduler.nanos(), attempts);
 	}
 
-	private Cancellable again(RequestRecord record, Work work, RecordReader reader) {
+	private Cancellable attachOrRestart(RequestRecord record, Work work, RecordReader reader) {
 		if (!record.fingerprint().equals(work.fingerprint())) {
 			reader.failed(new ServingException(ErrorCode.REQUEST_ID_REUSED, Ran.NO, Step.RECEIVE, "self",
 					"request id '" + record.id() + "' belongs to a different request"));
-			return NOTHING;
+			return NO_OP;
 		}
 		if (mayRestart(record)) {
 			this.records.restart(record);
-			Ran earlier = record.life().settledRan();
-			return start(fresh(record.id(), work, earlier, record.attempts()), reader);
+			Ran earlierRan = record.life().settledRan();
+			return start(newRecord(record.id(), work, earlierRan, record.attempts()), reader);
 		}
 		this.metrics.replayed();
 		return attach(record, reader);
@@ -180,17 +182,17 @@
 
 	private Cancellable start(RequestRecord record, RecordReader reader) {
 		try {
-			checkOpen();
+			checkNotLeaving();
 			this.access.check(record.work());
 			this.dispatcher.admit(record);
-			spend(record);
+			markUsed(record);
 		}
 		catch (ServingException ex) {
 			ServingException refusal = Failures.withRan(ex, record.life().ran());
 			this.metrics.ended(Outcome.REFUSED, refusal.ran());
 			record.life().apply(new LifeEvent.Refused());
 			reader.failed(refusal);
-			return NOTHING;
+			return NO_OP;
 		}
 		record.life().apply(new LifeEvent.Admitted());
 		record.life().apply(new LifeEvent.Queued());
@@ -198,38 +200,38 @@
 		this.records.add(record);
 		Duration timeLeft = Duration.ofNanos(record.deadline() - this.scheduler.nanos());
 		record.deadlineTimer(this.scheduler.schedule(timeLeft, () -> this.flow.expired(record)));
-		this.dispatcher.askForPass();
+		this.dispatcher.schedulePass();
 		return attach(record, reader);
 	}
 
-	private void checkOpen() throws ServingException {
+	private void checkNotLeaving() throws ServingException {
 		if (this.leaving) {
 			throw new ServingException(ErrorCode.LEAVING, Ran.NO, Step.ADMIT, "self",
-					"this daemon is leaving; ask for another address", LEAVING_PAUSE);
+					"this daemon is leaving; use another address", LEAVING_RETRY_AFTER);
 		}
 	}
 
-	private void spend(RequestRecord record) throws ServingException {
+	private void markUsed(RequestRecord record) throws ServingException {
 		if (record.repeatable() || RequestIds.hasIssuedForm(record.id())) {
 			return;
 		}
-		if (!this.spent.add(record.id())) {
+		if (!this.usedIds.add(record.id())) {
 			this.dispatcher.ended(record, true, 0);
 			throw new ServingException(ErrorCode.OVERLOADED, Ran.NO, Step.ADMIT, "self",
-					"this daemon can't remember more caller-chosen request ids; leave the id to the daemon");
+					"the table of caller-chosen request ids is full; omit the id to have the daemon issue one");
 		}
 	}
 
 	private Cancellable attach(RequestRecord record, RecordReader reader) {
 		if (!reader.begin(record.log())) {
 			reader.failed(new ServingException(ErrorCode.BAD_REQUEST, record.life().ran(), Step.RESUME, "self",
-					"the answer of request '" + record.id() + "' can't be read from the offset asked for"));
-			return NOTHING;
+					"the answer to request '" + record.id() + "' can't be read from the requested offset"));
+			return NO_OP;
 		}
 		reader.admitted(record.id());
 		if (record.life().ended()) {
 			record.replay(reader);
-			return NOTHING;
+			return NO_OP;
 		}
 		record.add(reader);
 		if (record.log() != null) {
@@ -240,24 +242,24 @@
 
 	private void detach(RequestRecord record, RecordReader reader) {
 		record.remove(reader);
-		if (record.unread() && record.repeatable() && !record.life().ended()) {
+		if (record.hasNoReaders() && record.repeatable() && !record.life().ended()) {
 			record.orphanTimer(this.scheduler.schedule(this.settings.orphanGrace(), () -> this.flow.abandoned(record)));
 		}
 	}
 
-	private Optional<ServingException> used(RequestId id) {
+	private Optional<ServingException> usedIdRefusal(RequestId id) {
 		if (RequestIds.hasIssuedForm(id)) {
-			return Optional.of((this.ids.issued(id)) ? unknown(id)
+			return Optional.of((this.ids.issued(id)) ? unknownRequest(id)
 					: new ServingException(ErrorCode.BAD_REQUEST, Ran.NO, Step.RECEIVE, "self",
 							"request id '" + id + "' has the form of an issued one but was never issued"));
 		}
-		return this.spent.find(id).filter((ran) -> ran != Ran.NO).map((ran) -> unknown(id));
+		return this.usedIds.find(id).filter((ran) -> ran != Ran.NO).map((ran) -> unknownRequest(id));
 	}
 
-	private ServingException unknown(RequestId id) {
-		Ran ran = this.spent.find(id).orElse(Ran.UNKNOWN);
+	private ServingException unknownRequest(RequestId id) {
+		Ran ran = this.usedIds.find(id).orElse(Ran.UNKNOWN);
 		return new ServingException(ErrorCode.UNKNOWN_REQUEST, ran, Step.RECEIVE, "self",
-				"there is no record of request '" + id + "' any more");
+				"no record of request '" + id + "' is kept");
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/Placement.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/Placement.java
@@ -12,7 +12,8 @@
 import org.bramleyscale.internal.routing.RoutingRequest;
 
 /**
- * Where an admitted request may go, and what is held for it there.
+ * The resource needs of an admitted request, the endpoints excluded for it, and the
+ * permits and the reservation held for it.
  *
  * <p>
  * Invariant: after {@link #release()} neither a permit nor a reservation is held. Not
@@ -32,11 +33,11 @@
 
 	private final Set<EndpointId> excluded = new HashSet<>();
 
-	private long mentionedAt;
+	private long capacityRequestedAt;
 
-	private boolean mentioned;
+	private boolean capacityRequested;
 
-	private Place place;
+	private Assignment assignment;
 
 	private Reservation reservation;
 
@@ -80,34 +81,35 @@
 	}
 
 	/**
-	 * Whether it is time to tell again that this waits; notes that it is told.
-	 * @param now the time
-	 * @param pause the pause between two times
-	 * @return true if the pause has passed
+	 * Whether capacity should be requested again for this waiting request. If so, records
+	 * the time of the request.
+	 * @param now the current time in nanoseconds
+	 * @param interval the minimum time between two requests for capacity
+	 * @return true if the interval has elapsed
 	 */
-	boolean mayMention(long now, Duration pause) {
-		if (this.mentioned && now - this.mentionedAt < pause.toNanos()) {
+	boolean shouldRequestCapacity(long now, Duration interval) {
+		if (this.capacityRequested && now - this.capacityRequestedAt < interval.toNanos()) {
 			return false;
 		}
-		this.mentioned = true;
-		this.mentionedAt = now;
+		this.capacityRequested = true;
+		this.capacityRequestedAt = now;
 		return true;
 	}
 
-	Optional<Place> place() {
-		return Optional.ofNullable(this.place);
+	Optional<Assignment> assignment() {
+		return Optional.ofNullable(this.assignment);
 	}
 
-	void placed(Place chosen) {
-		this.place = chosen;
+	void assign(Assignment chosen) {
+		this.assignment = chosen;
 	}
 
 	boolean reserving() {
 		return this.reservation != null;
 	}
 
-	void reserving(Reservation asked) {
-		this.reservation = asked;
+	void reserving(Reservation requested) {
+		this.reservation = requested;
 	}
 
 	List<GroupMember> group() {
@@ -118,15 +120,15 @@
 		this.group = members;
 	}
 
-	void unplace() {
-		if (this.place != null) {
-			this.place.close();
-			this.place = null;
+	void unassign() {
+		if (this.assignment != null) {
+			this.assignment.close();
+			this.assignment = null;
 		}
 	}
 
 	void release() {
-		unplace();
+		unassign();
 		if (this.reservation != null) {
 			this.reservation.close();
 			this.reservation = null;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/PlacementPlanner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/PlacementPlanner.java
@@ -17,7 +17,7 @@
 import org.bramleyscale.internal.routing.RoutingChoice;
 
 /**
- * Works out, once for each request, what it will need.
+ * Determines the resource needs of a request, once for each request.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -50,10 +50,11 @@
 	}
 
 	/**
-	 * Refuses what no endpoint and no group of endpoints can ever hold.
+	 * Refuses a request that is too large for every endpoint and every group of
+	 * endpoints.
 	 * @param record the request, with its placement
-	 * @param candidates the endpoints
-	 * @throws ServingException the refusal
+	 * @param candidates the candidate endpoints
+	 * @throws ServingException if the request is too large
 	 */
 	void checkSize(RequestRecord record, List<Candidate> candidates) throws ServingException {
 		if (!(record.work() instanceof Work.Generation generation)) {
@@ -63,28 +64,29 @@
 		Configuration configuration = this.source.current();
 		long context = configuration.model(generation.request().model()).map(ModelEntry::contextTokens).orElse(0);
 		if (context > 0 && needed > context) {
-			throw tooLarge(needed, "model '" + generation.request().model() + "' takes " + context);
+			throw tooLarge(needed, "model '" + generation.request().model() + "' accepts at most " + context);
 		}
-		if (Sizes.exceedsEach(needed, candidates)) {
+		if (RoutingUtils.exceedsEveryCandidate(needed, candidates)) {
 			long largest = this.reservations.largestGroupTokens(record.service(), generation.request().model());
 			if (largest > 0 && needed > largest) {
-				throw tooLarge(needed, "the engines of service '" + record.service() + "' take " + largest);
+				throw tooLarge(needed, "the engines of service '" + record.service() + "' hold at most " + largest);
 			}
 		}
 	}
 
 	/**
-	 * What admission is asked. Without room now there is no prediction; the times are
-	 * zero then, and only admission's own view of the queue counts.
+	 * Creates the request for admission. If no endpoint has capacity now, there is no
+	 * prediction: both predicted times are zero, and admission decides by its own view of
+	 * the queue alone.
 	 * @param record the request, with its placement
-	 * @param choice where it would go now
-	 * @param timeLeft how long it may still take
+	 * @param choice the current routing choice
+	 * @param timeLeft the time until its deadline
 	 * @return the request for admission
 	 */
 	AdmissionRequest admissionRequest(RequestRecord record, RoutingChoice choice, Duration timeLeft) {
 		Placement placement = record.placement();
-		Duration first = Sizes.orZero(Sizes.known(choice.predictedFirstTokenNanos()));
-		Duration finish = Sizes.orZero(Sizes.known(choice.predictedFinishNanos()));
+		Duration first = RoutingUtils.orZero(RoutingUtils.durationOrNull(choice.predictedFirstTokenNanos()));
+		Duration finish = RoutingUtils.orZero(RoutingUtils.durationOrNull(choice.predictedFinishNanos()));
 		return new AdmissionRequest(record.id(), record.account(), record.service(), placement.promptTokens(),
 				placement.maxTokens(), placement.urgent(), timeLeft, first, finish);
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/PlainSink.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/PlainSink.java
@@ -5,7 +5,7 @@
 import org.bramleyscale.internal.endpoint.ServiceReply;
 
 /**
- * Takes a plain service's answer on its way to one caller.
+ * Receives a plain service's reply for one caller.
  *
  * <p>
  * Called on the scheduler's thread; exactly one of {@code completed} and {@code failed}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RecordStore.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RecordStore.java
@@ -12,14 +12,14 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * The records of requests whose home is here.
+ * Stores the records of requests whose home is this daemon.
  *
  * <p>
- * Invariants: a record that has not ended is never dropped; ended ones are bounded in
- * number, bytes and time, and those whose time is up soonest go first. The record of a
- * not-repeatable request outlives its deadline, and so the retries of a caller that has
- * not given up; what happens after that is for {@link SpentIds}. Not safe for use by
- * multiple threads.
+ * Invariants: a record that has not ended is never dropped; ended records are bounded in
+ * number, bytes and age, and those that expire first are dropped first. The record of a
+ * not-repeatable request is kept beyond its deadline, so that it covers retries of its
+ * caller; later retries are detected by {@link UsedIds}. Not safe for use by multiple
+ * threads.
  */
 final class RecordStore {
 
@@ -48,8 +48,8 @@
 	}
 
 	/**
-	 * Lets a record be found by a second id.
-	 * @param alias the id that a caller uses
+	 * Registers a second id for a record.
+	 * @param alias the id used by a caller
 	 * @param id the record's id
 	 */
 	void alias(RequestId alias, RequestId id) {
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	 * Begins to count an ended record against the bounds.
+	 * Counts an ended record towards the bounds and drops records that exceed them.
 	 * @param record the record
 	 */
 	void ended(RequestRecord record) {
@@ -74,7 +74,7 @@
 	}
 
 	/**
-	 * Takes an ended record out because its request starts again.
+	 * Removes an ended record whose request is started again.
 	 * @param record the record
 	 */
 	void restart(RequestRecord record) {
@@ -120,18 +120,18 @@
 	}
 
 	private long dropAt(RequestRecord record) {
-		Duration keep = (record.repeatable()) ? this.settings.keepRepeatable() : this.settings.keepNotRepeatable();
+		Duration retention = (record.repeatable()) ? this.settings.keepRepeatable() : this.settings.keepNotRepeatable();
 		long now = this.clock.nanos();
 		long from = (record.repeatable()) ? now : Math.max(now, record.deadline());
-		return from + keep.toNanos();
+		return from + retention.toNanos();
 	}
 
 	/**
-	 * An ended record and when to drop it.
+	 * An ended record and its expiry.
 	 *
 	 * @param record the record
 	 * @param dropAt when to drop it
-	 * @param bytes what it counts
+	 * @param bytes its size as counted towards the bound
 	 */
 	private record Ended(RequestRecord record, long dropAt, long bytes) implements Comparable<Ended> {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestDump.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestDump.java
@@ -12,20 +12,20 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Shows the requests of a daemon to its operators, without prompts or answers.
+ * Dumps the state of requests for operators, without prompts and answers.
  *
  * <p>
  * Confined to the scheduler's thread.
  */
 final class RequestDump implements StateDump {
 
-	private static final int MOST_SHOWN = 100;
+	private static final int MAX_SHOWN = 100;
 
 	private final Clock clock;
 
 	private final RecordStore records;
 
-	private final SpentIds spent;
+	private final UsedIds usedIds;
 
 	private final RequestFlow flow;
 
@@ -33,11 +33,11 @@
 
 	private final InboundForwards inbound;
 
-	RequestDump(Clock clock, RecordStore records, SpentIds spent, RequestFlow flow, OutboundForwards outbound,
+	RequestDump(Clock clock, RecordStore records, UsedIds usedIds, RequestFlow flow, OutboundForwards outbound,
 			InboundForwards inbound) {
 		this.clock = clock;
 		this.records = records;
-		this.spent = spent;
+		this.usedIds = usedIds;
 		this.flow = flow;
 		this.outbound = outbound;
 		this.inbound = inbound;
@@ -55,11 +55,11 @@
 		List<Entry> unfinished = this.records.all()
 			.stream()
 			.filter((record) -> !record.life().ended())
-			.limit(MOST_SHOWN)
+			.limit(MAX_SHOWN)
 			.map(this::entry)
 			.toList();
 		return new Dump(states, this.records.unfinished(), this.records.endedCount(), this.records.endedBytes(),
-				this.spent.size(), this.spent.bytes(), this.flow.unconfirmedCancels(), this.outbound.size(),
+				this.usedIds.size(), this.usedIds.bytes(), this.flow.unconfirmedCancels(), this.outbound.size(),
 				this.inbound.size(), unfinished);
 	}
 
@@ -72,17 +72,18 @@
 	}
 
 	/**
-	 * The whole dump.
+	 * The dump.
 	 *
-	 * @param states records in each state
-	 * @param unfinished requests that have not ended
-	 * @param kept ended records kept for replay
-	 * @param keptBytes memory that they take
-	 * @param spentIds caller-chosen ids of not-repeatable requests
-	 * @param spentBytes memory that they take
-	 * @param unconfirmedCancels cancels that no engine has confirmed yet
-	 * @param forwardsOut callers whose requests have their home elsewhere
-	 * @param forwardsIn entries elsewhere that read requests of this home
+	 * @param states the number of records in each state
+	 * @param unfinished the number of requests that have not ended
+	 * @param kept the number of ended records kept for replay
+	 * @param keptBytes the size of these records
+	 * @param spentIds the number of used caller-chosen ids of not-repeatable requests
+	 * @param spentBytes the size of the table of these ids
+	 * @param unconfirmedCancels the number of cancels not yet confirmed by an engine
+	 * @param forwardsOut the number of callers whose requests have another home daemon
+	 * @param forwardsIn the number of readers at other daemons of requests whose home is
+	 * this daemon
 	 * @param requests the first requests that have not ended
 	 */
 	record Dump(Map<RequestState, Integer> states, int unfinished, int kept, long keptBytes, int spentIds,
@@ -93,14 +94,14 @@
 	 * One request.
 	 *
 	 * @param id its id
-	 * @param account whose it is
-	 * @param service what it asks of
-	 * @param state where it is in its life
-	 * @param attempts how many attempts it has had
-	 * @param tokens how many tokens of its answer are here
-	 * @param readers how many read it
-	 * @param endpoint where it runs, or empty
-	 * @param millisLeft how long it may still take
+	 * @param account the account of its caller
+	 * @param service the requested service
+	 * @param state its state
+	 * @param attempts the number of attempts so far
+	 * @param tokens the number of answer tokens received
+	 * @param readers the number of readers
+	 * @param endpoint the endpoint of the running attempt, or empty
+	 * @param millisLeft the time until its deadline, in milliseconds
 	 * @param repeatable whether it may run more than once
 	 */
 	record Entry(String id, String account, String service, RequestState state, int attempts, long tokens, int readers,
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestFlow.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestFlow.java
@@ -19,28 +19,28 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Takes admitted requests from their place to their single end.
+ * Controls admitted requests from their assignment to an endpoint until they end.
  *
  * <p>
- * Invariants: a not-repeatable request that may have reached an endpoint is never sent
- * again; whatever happens, a request ends when its time is up; what is given up ends at
- * once. Confined to the scheduler's thread.
+ * Invariants: a not-repeatable request that may have reached an endpoint is neverStarted
+ * sent again; every request ends at its deadline at the latest; a request that is not
+ * retried after a failure ends immediately. Confined to the scheduler's thread.
  */
-final class RequestFlow implements Starter, RunListener {
+final class RequestFlow implements DispatchListener, AttemptListener {
 
-	private static final Duration RETRY_PAUSE = Duration.ofSeconds(1);
+	private static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
 
-	private static final Duration GAP_PATIENCE = Duration.ofMillis(100);
+	private static final Duration GAP_TIMEOUT = Duration.ofMillis(100);
 
-	private static final Duration RESUME_PAUSE = Duration.ofMillis(200);
+	private static final Duration RESUME_DELAY = Duration.ofMillis(200);
 
-	private static final int RESUMES_WITHOUT_PROGRESS = 2;
+	private static final int MAX_RESUMES_WITHOUT_PROGRESS = 2;
 
-	private static final int LONGEST_ANSWER_CHARS = 8 << 20;
+	private static final int MAX_ANSWER_CHARS = 8 << 20;
 
-	private static final double SAVED_RETRIES = 10;
+	private static final double RETRY_BURST = 10;
 
-	private static final long LEAST_TIME_TO_RETRY = Duration.ofMillis(100).toNanos();
+	private static final long MIN_RETRY_TIME_NANOS = Duration.ofMillis(100).toNanos();
 
 	private final Scheduler scheduler;
 
@@ -50,7 +50,7 @@
 
 	private final RecordStore records;
 
-	private final SpentIds spent;
+	private final UsedIds usedIds;
 
 	private final TokenEstimator estimator;
 
@@ -65,20 +65,19 @@
 	private final CancelDriver canceller;
 
 	RequestFlow(RequestPorts ports, RequestSettings settings, RequestMetrics metrics, RecordStore records,
-			SpentIds spent) {
+			UsedIds usedIds) {
 		this.scheduler = ports.scheduler();
 		this.settings = settings;
 		this.metrics = metrics;
 		this.records = records;
-		this.spent = spent;
+		this.usedIds = usedIds;
 		this.estimator = ports.estimator();
-		this.budget = new RetryBudget(this.scheduler, settings.retryShare(), settings.retriesPerSecond(),
-				SAVED_RETRIES);
+		this.budget = new RetryBudget(this.scheduler, settings.retryShare(), settings.retriesPerSecond(), RETRY_BURST);
 		this.dispatcher = new Dispatcher(ports, records, this);
 		this.canceller = new CancelDriver(this.scheduler, ports.client(),
 				(endpoint) -> ports.configuration().current().endpoint(endpoint), metrics);
-		AttemptLimits limits = new AttemptLimits(settings.streamSilence(), GAP_PATIENCE, RESUME_PAUSE,
-				RESUMES_WITHOUT_PROGRESS, LONGEST_ANSWER_CHARS);
+		AttemptLimits limits = new AttemptLimits(settings.streamSilence(), GAP_TIMEOUT, RESUME_DELAY,
+				MAX_RESUMES_WITHOUT_PROGRESS, MAX_ANSWER_CHARS);
 		this.generations = new GenerationRunner(this.scheduler, ports.client(), ports.pool(), this.canceller, limits,
 				metrics, this);
 		this.calls = new CallRunner(this.scheduler, ports.client(), ports.pool(), this);
@@ -95,8 +94,8 @@
 	@Override
 	public void start(RequestRecord record) {
 		if (!record.repeatable() && record.life().ran() != Ran.NO) {
-			// The retry rules don't let it come to this. Should a change break them, the
-			// booking fails here instead of being made twice.
+			// The retry rules rule this out. If a change breaks them, the request fails
+			// here instead of running twice.
 			fail(record, ErrorCode.INTERNAL, Step.START, "self", "a not-repeatable request would be sent twice");
 			return;
 		}
@@ -104,12 +103,12 @@
 			record.markDispatched();
 			this.budget.firstAttempt();
 		}
-		Place place = record.placement().place().orElseThrow();
+		Assignment assignment = record.placement().assignment().orElseThrow();
 		if (record.work() instanceof Work.Generation generation) {
-			this.generations.start(record, generation.request(), place);
+			this.generations.start(record, generation.request(), assignment);
 		}
 		else if (record.work() instanceof Work.Call call) {
-			this.calls.start(record, call.request(), place);
+			this.calls.start(record, call.request(), assignment);
 		}
 	}
 
@@ -163,16 +162,17 @@
 	}
 
 	/**
-	 * Ends a request whose time is up.
+	 * Ends a request whose deadline has passed.
 	 * @param record the request
 	 */
 	void expired(RequestRecord record) {
 		String peer = record.running().map(RunningAttempt::peer).orElse("self");
-		fail(record, ErrorCode.DEADLINE_EXCEEDED, step(record), peer, "the request's time ran out");
+		fail(record, ErrorCode.DEADLINE_EXCEEDED, step(record), peer, "the request's deadline passed");
 	}
 
 	/**
-	 * Ends a request at its caller's wish, unless it is a call that can't be taken back.
+	 * Ends a request that its caller cancelled, unless it is a not-repeatable call that
+	 * is already sent.
 	 * @param record the request
 	 */
 	void cancelled(RequestRecord record) {
@@ -185,22 +185,22 @@
 	}
 
 	/**
-	 * Ends a request that nobody has read for a while.
+	 * Ends a request that still has no readers after the grace period.
 	 * @param record the request
 	 */
 	void abandoned(RequestRecord record) {
-		if (record.unread()) {
+		if (record.hasNoReaders()) {
 			String peer = record.running().map(RunningAttempt::peer).orElse("self");
-			fail(record, ErrorCode.CANCELLED, Step.CANCEL, peer, "nobody read the answer any more");
+			fail(record, ErrorCode.CANCELLED, Step.CANCEL, peer, "the request had no reader for the grace period");
 		}
 	}
 
 	private boolean mayRetry(RequestRecord record, ServingException failure) {
-		boolean never = record.life().ran() == Ran.NO && failure.step() == Step.CONNECT;
-		if (!record.repeatable() && !never) {
+		boolean neverStarted = record.life().ran() == Ran.NO && failure.step() == Step.CONNECT;
+		if (!record.repeatable() && !neverStarted) {
 			return false;
 		}
-		boolean timeLeft = record.deadline() - this.scheduler.nanos() > LEAST_TIME_TO_RETRY;
+		boolean timeLeft = record.deadline() - this.scheduler.nanos() > MIN_RETRY_TIME_NANOS;
 		boolean attemptsLeft = record.attempts() < this.settings.maxAttempts();
 		return timeLeft && attemptsLeft && !Failures.definitive(failure.code()) && this.budget.take();
 	}
@@ -217,7 +217,7 @@
 		}
 		boolean retryHelps = (ran == Ran.NO || record.repeatable()) && !Failures.definitive(cause.code())
 				&& cause.code() != ErrorCode.CANCELLED;
-		Duration retryAfter = (retryHelps) ? cause.retryAfter().orElse(RETRY_PAUSE) : null;
+		Duration retryAfter = (retryHelps) ? cause.retryAfter().orElse(DEFAULT_RETRY_AFTER) : null;
 		record.endFailed(
 				new ServingException(cause.code(), ran, cause.step(), cause.peer(), cause.getMessage(), retryAfter));
 		close(record);
@@ -232,14 +232,14 @@
 			record.running().ifPresent(RunningAttempt::abandon);
 		}
 		this.dispatcher.ended(record, !record.dispatched(), tokens);
-		this.spent.ended(record.id(), record.life().settledRan());
+		this.usedIds.ended(record.id(), record.life().settledRan());
 		this.metrics.ended(record.life().outcome().orElseThrow(), record.life().settledRan());
 		return true;
 	}
 
 	private void close(RequestRecord record) {
 		this.records.ended(record);
-		record.tellEnd();
+		record.notifyEnd();
 	}
 
 	private static Step step(RequestRecord record) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestIds.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestIds.java
@@ -4,17 +4,17 @@
 import org.bramleyscale.RequestId;
 
 /**
- * Issues request ids: the incarnation and a counter in base 36.
+ * Issues request ids, which consist of the incarnation and a counter in base 36.
  *
  * <p>
- * Invariant: no id is issued twice, and {@link #issued} says of each id whether it was
- * issued. Issued suffixes begin with {@code _}; without that mark a caller could choose
- * {@code 17} for itself just before the daemon issues 17 to somebody else, and one of the
- * two would be handed the other's answer. Not safe for use by multiple threads.
+ * Invariant: no id is issued twice, and {@link #issued} determines whether a given id was
+ * issued. Issued suffixes begin with {@code _}. Without this prefix a caller could choose
+ * {@code 17} just before the daemon issues 17 to another caller, and one of the two would
+ * receive the other's answer. Not safe for use by multiple threads.
  */
 public final class RequestIds {
 
-	private static final char MARK = '_';
+	private static final char ISSUED_PREFIX = '_';
 
 	private static final int RADIX = 36;
 
@@ -27,22 +27,22 @@
 	}
 
 	public RequestId next() {
-		String sequence = MARK + Long.toString(this.next, RADIX);
+		String sequence = ISSUED_PREFIX + Long.toString(this.next, RADIX);
 		this.next++;
 		return new RequestId(this.self, sequence);
 	}
 
 	/**
-	 * Whether an id has the form of an issued one, be it issued or not.
+	 * Whether an id has the form of an issued id, regardless of whether it was issued.
 	 * @param id the id
-	 * @return false if the suffix is a caller's choice
+	 * @return false if the suffix was chosen by a caller
 	 */
 	public static boolean hasIssuedForm(RequestId id) {
-		return id.sequence().charAt(0) == MARK;
+		return id.sequence().charAt(0) == ISSUED_PREFIX;
 	}
 
 	/**
-	 * Whether an id was issued here.
+	 * Whether an id was issued by this instance.
 	 * @param id the id
 	 * @return true if it was returned by {@link #next()}
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestMetrics.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestMetrics.java
@@ -8,7 +8,7 @@
 import org.bramleyscale.internal.request.life.Outcome;
 
 /**
- * Counts what becomes of requests. Safe for use by multiple threads.
+ * Metrics of requests and their outcomes. Safe for use by multiple threads.
  */
 public final class RequestMetrics {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestParts.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestParts.java
@@ -1,12 +1,12 @@
 package org.bramleyscale.internal.request;
 
 /**
- * The parts that requests whose home is here share.
+ * The collaborators shared by all requests whose home is this daemon.
  *
- * @param records the records
- * @param spent caller-chosen ids that were used
- * @param ids issues ids
- * @param flow takes requests from their place to their end
+ * @param records the store of request records
+ * @param usedIds the used caller-chosen ids of not-repeatable requests
+ * @param ids the issuer of request ids
+ * @param flow the controller of admitted requests
  */
-record RequestParts(RecordStore records, SpentIds spent, RequestIds ids, RequestFlow flow) {
+record RequestParts(RecordStore records, UsedIds usedIds, RequestIds ids, RequestFlow flow) {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestPorts.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestPorts.java
@@ -15,18 +15,18 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Everything that the request slice uses of others.
+ * The interfaces of other components that request handling depends on.
  *
- * @param scheduler the daemon's thread
- * @param random the source of chance
- * @param configuration the configuration in force
- * @param membership which daemons answer
- * @param network messages to other daemons
- * @param admission decides what is taken and what goes next
- * @param estimator estimates tokens
- * @param policy chooses endpoints
- * @param pool the endpoints
- * @param reservations memory on groups of engines
+ * @param scheduler the scheduler of the daemon's thread
+ * @param random the random number generator
+ * @param configuration the source of the current configuration
+ * @param membership the view of the daemons' states
+ * @param network the network for messages to other daemons
+ * @param admission admits requests and determines the next one to start
+ * @param estimator estimates the tokens of prompts
+ * @param policy selects endpoints
+ * @param pool the pool of endpoints
+ * @param reservations reserves memory on groups of engines
  * @param client calls endpoints
  */
 record RequestPorts(Scheduler scheduler, RandomGenerator random, ConfigurationSource configuration,
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestRecord.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestRecord.java
@@ -19,11 +19,12 @@
 import org.jboss.logging.Logger;
 
 /**
- * What the home of a request knows of it.
+ * The state of a request at its home daemon.
  *
  * <p>
- * Invariants: readers are told of the end exactly once; after the end the prompt or body
- * is gone and only the answer is left. Not safe for use by multiple threads.
+ * Invariants: readers are notified of the end exactly once; when the request ends, its
+ * prompt or body is dropped and only the answer is kept. Not safe for use by multiple
+ * threads.
  */
 final class RequestRecord {
 
@@ -31,7 +32,7 @@
 
 	private static final long FIXED_BYTES = 800;
 
-	private static final Cancellable NOTHING = () -> {
+	private static final Cancellable NO_OP = () -> {
 	};
 
 	private final RequestId id;
@@ -64,9 +65,9 @@
 
 	private List<RecordReader> readers = List.of();
 
-	private Cancellable deadlineTimer = NOTHING;
+	private Cancellable deadlineTimer = NO_OP;
 
-	private Cancellable orphanTimer = NOTHING;
+	private Cancellable orphanTimer = NO_OP;
 
 	private EngineUsage usage;
 
@@ -121,8 +122,8 @@
 	}
 
 	/**
-	 * The answer.
-	 * @return the answer, or null for a call of a plain service
+	 * Returns the answer received so far.
+	 * @return the answer, or null for a call to a plain service
 	 */
 	AnswerLog log() {
 		return this.log;
@@ -150,8 +151,8 @@
 	}
 
 	/**
-	 * Whether the request has left admission's queue.
-	 * @return true once it was first taken from there
+	 * Whether the request has left the admission queue.
+	 * @return true from its first dispatch on
 	 */
 	boolean dispatched() {
 		return this.dispatched;
@@ -178,7 +179,7 @@
 		this.orphanTimer = timer;
 	}
 
-	boolean unread() {
+	boolean hasNoReaders() {
 		return this.readers.isEmpty();
 	}
 
@@ -198,8 +199,8 @@
 		this.readers = fewer;
 	}
 
-	void grew() {
-		tellAll((reader) -> reader.grew(this.log));
+	void notifyGrowth() {
+		notifyReaders((reader) -> reader.grew(this.log));
 	}
 
 	void endCompleted(EngineUsage used) {
@@ -218,22 +219,22 @@
 	}
 
 	/**
-	 * Tells all readers of the end, once it is set.
+	 * Notifies all readers of the end. The end must be set before.
 	 */
-	void tellEnd() {
-		tellAll(this::tellEnd);
+	void notifyEnd() {
+		notifyReaders(this::notifyEnd);
 		this.readers = List.of();
 	}
 
 	/**
-	 * Tells a reader the whole answer and the end.
+	 * Sends the whole answer and the end to a reader.
 	 * @param reader the reader
 	 */
 	void replay(RecordReader reader) {
 		if (this.log != null) {
 			reader.grew(this.log);
 		}
-		tellEnd(reader);
+		notifyEnd(reader);
 	}
 
 	long bytes() {
@@ -252,7 +253,7 @@
 		}
 	}
 
-	private void tellEnd(RecordReader reader) {
+	private void notifyEnd(RecordReader reader) {
 		if (this.failure != null) {
 			reader.failed(this.failure);
 		}
@@ -264,14 +265,14 @@
 		}
 	}
 
-	private void tellAll(Consumer<RecordReader> event) {
+	private void notifyReaders(Consumer<RecordReader> event) {
 		for (RecordReader reader : this.readers) {
 			try {
 				event.accept(reader);
 			}
 			catch (RuntimeException ex) {
-				// A reader that fails must not keep the others from their answer.
-				logger.errorf(ex, "A reader of request %s failed", this.id);
+				// A failing reader must not prevent delivery to the others.
+				logger.errorf(ex, "Reader of request %s failed", this.id);
 			}
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestSettings.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * How long the request slice waits for what, and how much it keeps.
+ * Settings of request handling: timeouts, retention, size limits and the retry budget.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
@@ -54,7 +54,7 @@
 	}
 
 	/**
-	 * How long a stream may bring nothing before it is resumed over a new connection.
+	 * How long a stream may deliver nothing before it is resumed over a new connection.
 	 * @return 5 s by default
 	 */
 	public Duration streamSilence() {
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	 * How long a repeatable request without a reader goes on.
+	 * How long a repeatable request without a reader continues before it is cancelled.
 	 * @return 10 s by default
 	 */
 	public Duration orphanGrace() {
@@ -70,7 +70,7 @@
 	}
 
 	/**
-	 * How long to wait for the home of a request to acknowledge a forward.
+	 * How long to wait until the home daemon of a request acknowledges a forward.
 	 * @return 2 s by default
 	 */
 	public Duration forwardAcknowledgement() {
@@ -94,7 +94,7 @@
 	}
 
 	/**
-	 * How many ended records are kept.
+	 * The maximum number of ended records kept.
 	 * @return 20,000 by default
 	 */
 	public int recordCount() {
@@ -102,7 +102,7 @@
 	}
 
 	/**
-	 * How much memory ended records may take.
+	 * The maximum memory of ended records, in bytes.
 	 * @return 16 MiB by default
 	 */
 	public long recordBytes() {
@@ -110,7 +110,7 @@
 	}
 
 	/**
-	 * How many caller-chosen ids of not-repeatable requests one incarnation takes.
+	 * The maximum number of caller-chosen ids of not-repeatable requests per incarnation.
 	 * @return 1.5 million by default
 	 */
 	public int spentIds() {
@@ -118,7 +118,7 @@
 	}
 
 	/**
-	 * The largest prompt or body, in bytes.
+	 * The maximum size of a prompt or body, in bytes.
 	 * @return 16 MiB by default
 	 */
 	public int maxBodyBytes() {
@@ -126,7 +126,7 @@
 	}
 
 	/**
-	 * Retries allowed for each first attempt.
+	 * The retries added to the retry budget for each first attempt.
 	 * @return 0.1 by default
 	 */
 	public double retryShare() {
@@ -134,7 +134,8 @@
 	}
 
 	/**
-	 * Retries a second allowed besides.
+	 * The retries added to the retry budget per second, in addition to
+	 * {@link #retryShare()}.
 	 * @return 0.5 by default
 	 */
 	public double retriesPerSecond() {
@@ -142,7 +143,7 @@
 	}
 
 	/**
-	 * How many attempts one request may have.
+	 * The maximum number of attempts per request.
 	 * @return 3 by default
 	 */
 	public int maxAttempts() {
@@ -168,7 +169,7 @@
 	}
 
 	/**
-	 * Collects settings; not safe for use by multiple threads.
+	 * Builder of settings; not safe for use by multiple threads.
 	 */
 	public static final class Builder {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/Sizes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RoutingUtils.java
@@ -8,20 +8,20 @@
 import org.bramleyscale.internal.routing.Candidate;
 
 /**
- * Small questions about candidates and predictions. Stateless.
+ * Helper methods for routing candidates and predictions. Stateless.
  */
-final class Sizes {
+final class RoutingUtils {
 
-	private Sizes() {
+	private RoutingUtils() {
 	}
 
 	/**
-	 * Whether a need is larger than any single candidate's memory.
-	 * @param kvTokens the need
+	 * Whether a request needs more memory than every single candidate has.
+	 * @param kvTokens the needed memory, in KV tokens
 	 * @param candidates the candidates
-	 * @return false also if no candidate's memory is known
+	 * @return true if it does; false also if the memory of no candidate is known
 	 */
-	static boolean exceedsEach(long kvTokens, List<Candidate> candidates) {
+	static boolean exceedsEveryCandidate(long kvTokens, List<Candidate> candidates) {
 		long largest = 0;
 		for (Candidate candidate : candidates) {
 			largest = Math.max(largest, candidate.kvCapacity());
@@ -37,11 +37,12 @@
 	}
 
 	/**
-	 * A prediction as a duration.
-	 * @param nanos the prediction, the largest long if there is none
+	 * Converts a prediction to a duration.
+	 * @param nanos the prediction in nanoseconds, or {@link Long#MAX_VALUE} if there is
+	 * none
 	 * @return the duration, or null if there is no prediction
 	 */
-	static Duration known(long nanos) {
+	static Duration durationOrNull(long nanos) {
 		return (nanos != Long.MAX_VALUE) ? Duration.ofNanos(Math.max(0, nanos)) : null;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RunningAttempt.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RunningAttempt.java
@@ -1,7 +1,7 @@
 package org.bramleyscale.internal.request;
 
 /**
- * The attempt of a request that is in flight.
+ * An attempt in flight.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -9,8 +9,8 @@
 interface RunningAttempt {
 
 	/**
-	 * The name of the endpoint.
-	 * @return the name, as errors give it
+	 * Returns the name of the endpoint.
+	 * @return the name, as used in errors
 	 */
 	String peer();
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/SpentIds.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/UsedIds.java
@@ -9,55 +9,57 @@
 import org.bramleyscale.RequestId;
 
 /**
- * Which caller-chosen ids of not-repeatable requests this incarnation has admitted, for
- * as long as it lives.
+ * The caller-chosen ids of all not-repeatable requests that this incarnation has
+ * admitted.
  *
  * <p>
- * Records of ended requests are dropped after a while. A retry that arrives later would
- * then look like a new request, and a booking would be made twice. The daemon can tell
- * "never seen" from "dropped" for ids that it issued itself, by its counter, but not for
- * suffixes that callers choose. So it remembers those, as a 64-bit keyed hash and one
- * byte for what became of the request. Two ids with the same hash lead to a wrong
- * "unknown" for the second and never to a second run; with 1.5 million ids that befalls
- * less than one new id in ten trillion.
+ * Records of ended requests are dropped after their retention period. A retry that
+ * arrives later would look like a new request, and a not-repeatable request would run
+ * twice. For ids that the daemon issued itself, its counter distinguishes dropped ids
+ * from unused ones; for caller-chosen suffixes it can't. These are therefore stored as a
+ * 64-bit keyed hash and one byte for whether the request ran. If two ids have the same
+ * hash, the second is wrongly reported as unknown, but never runs a second time; with 1.5
+ * million ids this affects less than one new id in ten trillion.
  *
  * <p>
- * Memory: 9 bytes a slot, at most three quarters of the slots used: 18.9 MB at the bound
- * of 1.5 million ids, which 3 such requests a second reach after 5.8 days. Nothing is
- * ever dropped. When the bound is reached, further not-repeatable requests with
- * caller-chosen ids are refused, truthfully as not run; those with issued ids go on.
+ * Memory: 9 bytes per slot at a load factor of at most three quarters, which gives 18.9
+ * MB at the capacity of 1.5 million ids. A load of 3 such requests per second reaches it
+ * after 5.8 days. Ids are never dropped. When the capacity is reached, further
+ * not-repeatable requests with caller-chosen ids are refused as not run; requests with
+ * issued ids are still accepted.
  *
  * <p>
- * Invariant: an id once added is found for ever. Not safe for use by multiple threads.
+ * Invariant: an id that was added is always found. Not safe for use by multiple threads.
  */
-final class SpentIds {
+final class UsedIds {
 
-	private static final int FIRST_SLOTS = 1024;
+	private static final int INITIAL_SLOTS = 1024;
 
 	private static final int BYTES_PER_SLOT = Long.BYTES + 1;
 
 	private final HashFunction hash;
 
-	private final int bound;
+	private final int capacity;
 
-	private long[] keys = new long[FIRST_SLOTS];
+	private long[] keys = new long[INITIAL_SLOTS];
 
-	private byte[] states = new byte[FIRST_SLOTS];
+	private byte[] states = new byte[INITIAL_SLOTS];
 
 	private int size;
 
-	SpentIds(int bound, RandomGenerator random) {
-		this.bound = bound;
+	UsedIds(int capacity, RandomGenerator random) {
+		this.capacity = capacity;
 		this.hash = Hashing.sipHash24(random.nextLong(), random.nextLong());
 	}
 
 	/**
-	 * Notes that a request is admitted.
+	 * Adds the id of an admitted request.
 	 * @param id its id
-	 * @return false if there is no room for another id; nothing is noted then
+	 * @return false if the id is not present and can't be added because the capacity is
+	 * reached
 	 */
 	boolean add(RequestId id) {
-		if (this.size >= this.bound) {
+		if (this.size >= this.capacity) {
 			return find(id).isPresent();
 		}
 		if ((this.size + 1) * 4L > this.keys.length * 3L) {
@@ -68,7 +70,7 @@
 	}
 
 	/**
-	 * Notes what became of a request that was added.
+	 * Records whether a request that was added ran.
 	 * @param id its id
 	 * @param ran whether it ran
 	 */
@@ -80,7 +82,7 @@
 	}
 
 	/**
-	 * What became of a request.
+	 * Looks up whether a request ran.
 	 * @param id its id
 	 * @return whether it ran, or empty if it was never admitted
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/Work.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/Work.java
@@ -8,7 +8,7 @@
 import org.bramleyscale.ServiceName;
 
 /**
- * What a request asks for. Immutable and safe for use by multiple threads.
+ * The work that a request asks for. Immutable and safe for use by multiple threads.
  */
 sealed interface Work {
 
@@ -17,7 +17,7 @@
 	ServiceName service();
 
 	/**
-	 * The model asked for.
+	 * Returns the requested model.
 	 * @return the model, or null for a plain service
 	 */
 	ModelName model();
@@ -29,7 +29,7 @@
 	HashCode fingerprint();
 
 	/**
-	 * A generation.
+	 * A generation by a model.
 	 *
 	 * @param request the caller's request
 	 */
@@ -68,7 +68,7 @@
 	}
 
 	/**
-	 * A call of a plain service.
+	 * A call to a plain service.
 	 *
 	 * @param request the caller's request
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A request's life, its record, and its single outcome.
+ * Handling of requests: admission, dispatch to endpoints, retries, records and outcomes.
  */
 package org.bramleyscale.internal.request;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/AtMostOnceTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/AtMostOnceTests.java
@@ -27,7 +27,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A booking is made once, whatever is lost and wherever its caller retries.
+ * Checks that a not-repeatable request runs at most once, whichever messages are lost and
+ * whichever daemon its caller retries at.
  */
 class AtMostOnceTests {
 
@@ -44,14 +45,14 @@
 	private final RecordingSink retry = new RecordingSink();
 
 	/**
-	 * Symptom: two lowloaders at one pit. Sequence: a caller sends a booking, gets no
-	 * answer in time or loses it, and sends it again, to the same or another daemon.
-	 * Cause: the second daemon doesn't know that the first has already passed it on.
+	 * Guards against a booking that is made twice. A caller that received no answer in
+	 * time, or lost it, retries at the same or another daemon, and the second daemon
+	 * doesn't know that the first has already sent the request.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "entry-1, entry-1, false", "entry-1, entry-1, true", "entry-1, entry-2, false",
 			"entry-1, entry-2, true", "entry-2, entry-1, false", "entry-2, entry-2, true" })
-	void retryGetsTheOneAnswer(String firstAt, String retryAt, boolean afterEnd) {
+	void retryReceivesTheSameAnswer(String firstAt, String retryAt, boolean afterEnd) {
 		service(firstAt).call(RequestFixture.booking(BOOKING, false), this.first);
 		this.fixture.run();
 		if (afterEnd) {
@@ -66,20 +67,20 @@
 		Truth.assertThat(this.first.end()).isEqualTo("completed");
 		Truth.assertThat(this.retry.end()).isEqualTo("completed");
 		Truth.assertThat(this.retry.reply.status()).isEqualTo(201);
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(1);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(1);
 	}
 
 	static Stream<Arguments> lostMessages() {
 		return Stream.of(Arguments.of("request", is(ForwardCall.class)),
 				Arguments.of("acknowledgement", is(ForwardAccepted.class)),
 				Arguments.of("reply", is(ForwardReply.class)),
-				Arguments.of("asking again", is(ForwardReply.class, ForwardResume.class)));
+				Arguments.of("resume", is(ForwardReply.class, ForwardResume.class)));
 	}
 
 	/**
-	 * Symptom: a caller waits until its deadline for a booking that was made. Sequence: a
-	 * message between entry and home is lost with its connection. Cause: neither side is
-	 * told of the loss.
+	 * Guards against a caller that waits until its deadline for a booking that was made.
+	 * A message between entry and home is lost with its connection, and neither side is
+	 * notified of the loss.
 	 */
 	@ParameterizedTest(name = "{0}")
 	@MethodSource("lostMessages")
@@ -90,22 +91,23 @@
 		reply();
 		this.fixture.advance(Duration.ofSeconds(20));
 		Truth.assertThat(this.first.end()).isEqualTo("completed");
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(1);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(1);
 	}
 
 	/**
-	 * Symptom: "not run" is said, the caller books again under a new id, two bookings.
-	 * Sequence: the forward reaches the home, all answers are lost. Cause: no
-	 * acknowledgement is taken for not having arrived.
+	 * Guards against a wrong "not run", after which the caller books again under a new id
+	 * and the booking is made twice. The forward reaches the home, but all replies are
+	 * lost, and the missing acknowledgement is mistaken for a forward that did not
+	 * arrive.
 	 */
 	@Test
-	void silentHomeThatRunsTheRequestIsAnsweredUnknown() {
+	void unresponsiveHomeThatRunsTheRequestYieldsUnknown() {
 		this.fixture.peers.lost = (message) -> !(message instanceof ForwardCall);
 		this.other.call(RequestFixture.booking(BOOKING, false), this.first);
 		this.fixture.advance(Duration.ofSeconds(9));
 		Truth.assertThat(this.first.end()).isEqualTo("HOME_GONE UNKNOWN");
 		Truth.assertThat(this.first.failure.retryAfter()).isPresent();
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(1);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(1);
 		this.fixture.peers.lost = (message) -> false;
 		this.other.call(RequestFixture.booking(BOOKING, false), this.retry);
 		this.fixture.run();
@@ -115,12 +117,12 @@
 	}
 
 	/**
-	 * Symptom: as above. Sequence: the caller's first try went to the home itself; then
-	 * the entry of its retry has no connection to the home. Cause: that nothing left the
-	 * entry says nothing about the earlier try.
+	 * Guards against a wrong "not run" as above. The caller sent its first attempt to the
+	 * home itself, and the entry of its retry has no connection to the home. That the
+	 * entry sent nothing does not show that the first attempt did not run.
 	 */
 	@Test
-	void unreachableHomeIsAnsweredUnknownAtOnce() {
+	void unreachableHomeYieldsUnknownImmediately() {
 		this.home.call(RequestFixture.booking(BOOKING, false), this.first);
 		this.fixture.run();
 		this.fixture.peers.unreachable.add(new VmId("entry-1"));
@@ -131,7 +133,7 @@
 
 	@ParameterizedTest
 	@CsvSource({ "false, HOME_GONE UNKNOWN, 1", "true, completed, 2" })
-	void deadHomeIsReplacedOnlyIfTheCallMayBeRepeated(boolean repeatable, String end, int worked) {
+	void failedHomeIsReplacedOnlyForRepeatableCalls(boolean repeatable, String end, int worked) {
 		this.other.call(RequestFixture.booking(BOOKING, repeatable), this.first);
 		this.fixture.run();
 		this.fixture.peers.unreachable.add(new VmId("entry-1"));
@@ -141,34 +143,32 @@
 			reply();
 		}
 		Truth.assertThat(this.first.end()).isEqualTo(end);
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(worked);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(worked);
 	}
 
 	/**
-	 * Symptom: a booking is made twice after a daemon restarted. Sequence: booking, the
-	 * daemon starts anew on the same VM, the caller retries. Cause: the new start knows
-	 * no request of the old one.
+	 * Guards against a booking that is made twice after its home restarted on the same
+	 * VM. The new incarnation has no records of the old one when the caller retries.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "entry-1, false", "entry-2, false", "entry-2, true" })
-	void restartedHomeDoesNotRunTheOldId(String retryAt, boolean retryEntryKnowsOldStartOnly) {
+	void restartedHomeDoesNotRunTheOldId(String retryAt, boolean retryEntryKnowsOldIncarnationOnly) {
 		this.home.call(RequestFixture.booking(BOOKING, false), this.first);
 		this.fixture.run();
 		DefaultRequestService restarted = this.fixture.daemon("entry-1", 2);
-		if (retryEntryKnowsOldStartOnly) {
+		if (retryEntryKnowsOldIncarnationOnly) {
 			this.fixture.peers.state(BOOKING.issuer(), Member.State.ALIVE);
 		}
 		DefaultRequestService reached = ("entry-1".equals(retryAt)) ? restarted : this.other;
 		reached.call(RequestFixture.booking(BOOKING, false), this.retry);
 		this.fixture.run();
 		Truth.assertThat(this.retry.end()).isEqualTo("HOME_GONE UNKNOWN");
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(1);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(1);
 	}
 
 	/**
-	 * Symptom: a late retry books again. Sequence: a booking with an id that its caller
-	 * chose ends, its record is dropped after its time, the caller retries. Cause: the
-	 * dropped id looks like a new one.
+	 * Guards against a late retry that books again. The record of an ended booking is
+	 * dropped after its retention period, and the id of the retry looks like a new one.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "booking-7", "_0" })
@@ -181,15 +181,15 @@
 		this.home.call(RequestFixture.booking(RequestFixture.id("entry-1", suffix), false), this.retry);
 		this.fixture.run();
 		Truth.assertThat(this.retry.end()).isEqualTo("UNKNOWN_REQUEST " + ((issued) ? "UNKNOWN" : "YES"));
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(1);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(1);
 	}
 
 	@Test
-	void refusedBookingMayBeTriedAgainUnderItsId() {
-		this.fixture.admissions.get("entry-1").room = 0;
+	void refusedBookingMayBeRetriedWithItsId() {
+		this.fixture.admissions.get("entry-1").maxWaiting = 0;
 		this.home.call(RequestFixture.booking(BOOKING, false), this.first);
 		Truth.assertThat(this.first.end()).isEqualTo("OVERLOADED NO");
-		this.fixture.admissions.get("entry-1").room = 10;
+		this.fixture.admissions.get("entry-1").maxWaiting = 10;
 		this.home.call(RequestFixture.booking(BOOKING, false), this.retry);
 		this.fixture.run();
 		reply();
@@ -197,14 +197,14 @@
 	}
 
 	/**
-	 * Symptom: a caller that comes back as it was told gets the old refusal for ever.
-	 * Sequence: the endpoint refuses, the caller retries under the same id. Cause: the
-	 * record replays an outcome that the caller was told to try again after.
+	 * Guards against a caller that retries as advised but always receives the old
+	 * failure. The endpoint fails the request, the caller retries under the same id, and
+	 * the record replays an outcome that is meant to be retried.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "false, NO, 2, completed", "true, UNKNOWN, 2, completed",
 			"false, UNKNOWN, 1, ENDPOINT_FAILED UNKNOWN" })
-	void endedRequestStartsAgainUnlessItMayHaveRun(boolean repeatable, Ran ran, int worked, String end) {
+	void endedRequestIsRestartedUnlessItMayHaveRun(boolean repeatable, Ran ran, int worked, String end) {
 		DefaultRequestService once = this.fixture.daemon("entry-3", 1,
 				RequestSettings.builder().maxAttempts(1).build());
 		RequestId id = RequestFixture.id("entry-3", "a");
@@ -214,7 +214,7 @@
 		Truth.assertThat(this.first.end()).isEqualTo("ENDPOINT_FAILED " + ran);
 		once.call(RequestFixture.booking(id, repeatable), this.retry);
 		this.fixture.run();
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(worked);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(worked);
 		reply();
 		Truth.assertThat(this.retry.end()).isEqualTo(end);
 	}
@@ -227,7 +227,7 @@
 	}
 
 	@Test
-	void fullMemoryOfIdsRefusesFurtherChosenIdsOnly() {
+	void fullIdTableRefusesOnlyFurtherCallerChosenIds() {
 		DefaultRequestService small = this.fixture.daemon("entry-3", 1, RequestSettings.builder().spentIds(1).build());
 		small.call(RequestFixture.booking(RequestFixture.id("entry-3", "a"), false), this.first);
 		small.call(RequestFixture.booking(RequestFixture.id("entry-3", "b"), false), this.retry);
@@ -236,7 +236,7 @@
 		small.call(RequestFixture.booking(null, false), issued);
 		this.fixture.run();
 		Truth.assertThat(this.first.end() + " " + issued.end()).isEqualTo("open open");
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(2);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(2);
 	}
 
 	private DefaultRequestService service(String vm) {
@@ -244,7 +244,7 @@
 	}
 
 	private void reply() {
-		FakeEngines.Sent sent = this.fixture.engines.calls.get(this.fixture.engines.calls.size() - 1);
+		FakeEngines.SentCall sent = this.fixture.engines.calls.get(this.fixture.engines.calls.size() - 1);
 		sent.reply().complete(new ServiceReply(201, Map.of(), new byte[100_000]));
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakeAdmission.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakeAdmission.java
@@ -18,7 +18,7 @@
 import org.bramleyscale.internal.admission.AdmissionRequest;
 
 /**
- * First come, first served, up to a number that may wait.
+ * Admits requests in order of arrival, up to a maximum queue length.
  */
 final class FakeAdmission implements Admission {
 
@@ -26,13 +26,13 @@
 
 	final List<RequestId> withdrawn = new ArrayList<>();
 
-	int room = 1000;
+	int maxWaiting = 1000;
 
 	private final List<RequestId> queue = new ArrayList<>();
 
 	@Override
 	public void admit(AdmissionRequest request) throws ServingException {
-		if (this.queue.size() >= this.room) {
+		if (this.queue.size() >= this.maxWaiting) {
 			throw new ServingException(ErrorCode.OVERLOADED, Ran.NO, Step.ADMIT, "self", "full", Duration.ofSeconds(1));
 		}
 		this.queue.add(request.id());
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakeEngines.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakeEngines.java
@@ -25,17 +25,17 @@
 import org.bramleyscale.internal.time.Cancellable;
 
 /**
- * Notes what is sent to endpoints and lets a test answer.
+ * Records what is sent to endpoints and lets a test send the replies.
  */
 final class FakeEngines implements EngineClient {
 
 	final List<Connection> connections = new ArrayList<>();
 
-	final List<Sent> calls = new ArrayList<>();
+	final List<SentCall> calls = new ArrayList<>();
 
 	final List<String> cancels = new ArrayList<>();
 
-	final List<CompletableFuture<CancelResult>> cancelAnswers = new ArrayList<>();
+	final List<CompletableFuture<CancelResult>> cancelResults = new ArrayList<>();
 
 	long boot = 1;
 
@@ -57,13 +57,13 @@
 	public CompletableFuture<CancelResult> cancel(EndpointEntry endpoint, RequestId id, int attempt) {
 		this.cancels.add(endpoint.name() + " " + id + " " + attempt);
 		CompletableFuture<CancelResult> answer = new CompletableFuture<>();
-		this.cancelAnswers.add(answer);
+		this.cancelResults.add(answer);
 		return answer;
 	}
 
 	@Override
 	public CompletableFuture<ServiceReply> call(EndpointEntry endpoint, ServiceCall call) {
-		Sent sent = new Sent(endpoint, call, new CompletableFuture<>());
+		SentCall sent = new SentCall(endpoint, call, new CompletableFuture<>());
 		this.calls.add(sent);
 		return sent.reply;
 	}
@@ -108,10 +108,10 @@
 	}
 
 	/**
-	 * How many times work was sent, reading it again left aside.
-	 * @return generations started and calls made
+	 * Returns how many times work was sent, without resumed reads.
+	 * @return the number of generations and calls sent
 	 */
-	long worked() {
+	long sentWork() {
 		return this.calls.size() + this.connections.stream().filter((connection) -> connection.request != null).count();
 	}
 
@@ -120,17 +120,17 @@
 	}
 
 	/**
-	 * One call of a plain service.
+	 * One call to a plain service.
 	 *
-	 * @param endpoint where it went
-	 * @param call what was sent
-	 * @param reply completes it
+	 * @param endpoint the endpoint called
+	 * @param call the call
+	 * @param reply the future reply
 	 */
-	record Sent(EndpointEntry endpoint, ServiceCall call, CompletableFuture<ServiceReply> reply) {
+	record SentCall(EndpointEntry endpoint, ServiceCall call, CompletableFuture<ServiceReply> reply) {
 	}
 
 	/**
-	 * One connection over which an answer is read.
+	 * One connection that reads an answer.
 	 */
 	static final class Connection {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakePeers.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakePeers.java
@@ -22,13 +22,13 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Daemons that see each other, and messages between them that a test may lose.
+ * Daemons with a shared membership view, and messages between them that a test may drop.
  */
 final class FakePeers {
 
 	static final DataCentre DATA_CENTRE = new DataCentre("rawang");
 
-	/** Tells which messages get lost on their way. */
+	/** Selects the messages that are lost. */
 	Predicate<PeerMessage> lost = (message) -> false;
 
 	final Set<VmId> unreachable = new HashSet<>();
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	 * One daemon's view of the others.
+	 * The network and membership view of one daemon.
 	 */
 	final class Peer implements PeerNetwork, MembershipView {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakePool.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/FakePool.java
@@ -18,13 +18,13 @@
 import org.bramleyscale.internal.routing.Candidate;
 
 /**
- * Endpoints with a number of slots each.
+ * A pool of endpoints that share a number of slots.
  */
 final class FakePool implements EndpointPool {
 
 	final List<Observation> observations = new ArrayList<>();
 
-	final List<Long> wanted = new ArrayList<>();
+	final List<Long> capacityRequests = new ArrayList<>();
 
 	final List<Duration> overdue = new ArrayList<>();
 
@@ -63,7 +63,7 @@
 
 	@Override
 	public void requestCapacity(ServiceName service, ModelName model, long kvTokens) {
-		this.wanted.add(kvTokens);
+		this.capacityRequests.add(kvTokens);
 	}
 
 	@Override
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/LocalRequestTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/LocalRequestTests.java
@@ -26,7 +26,7 @@
 		engine.complete(RequestFixture.ANSWER.length());
 		Truth.assertThat(this.sink.text.toString()).isEqualTo(RequestFixture.ANSWER);
 		Truth.assertThat(this.sink.end()).isEqualTo("completed");
-		Truth.assertThat(this.sink.broken).isEmpty();
+		Truth.assertThat(this.sink.violations).isEmpty();
 		Truth.assertThat(this.fixture.admissions.get("entry-1").settled.get(this.sink.id())).isEqualTo(10 + 41);
 		Truth.assertThat(this.fixture.pool.used).isEqualTo(0);
 		Truth.assertThat(this.service.unfinished()).isEqualTo(0);
@@ -39,7 +39,7 @@
 		this.fixture.engines.calls.get(0).reply().complete(new ServiceReply(201, Map.of(), new byte[0]));
 		Truth.assertThat(this.sink.end()).isEqualTo("completed");
 		Truth.assertThat(this.sink.reply.status()).isEqualTo(201);
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(1);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(1);
 	}
 
 }
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/RecordingSink.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/RecordingSink.java
@@ -9,7 +9,7 @@
 import org.bramleyscale.internal.endpoint.ServiceReply;
 
 /**
- * Notes an answer, and that its parts came in the order that sinks are promised.
+ * Records an answer, and each violation of the contract of sinks.
  */
 final class RecordingSink implements AnswerSink, PlainSink {
 
@@ -17,7 +17,7 @@
 
 	final StringBuilder text = new StringBuilder();
 
-	final List<String> broken = new ArrayList<>();
+	final List<String> violations = new ArrayList<>();
 
 	long next;
 
@@ -44,8 +44,9 @@
 	}
 
 	/**
-	 * The end in short.
-	 * @return {@code open}, {@code completed}, or the failure's code and {@code ran}
+	 * Summarizes the end.
+	 * @return {@code open}, {@code completed}, or the code of the failure and whether the
+	 * request ran
 	 */
 	String end() {
 		if (this.ends == 0) {
@@ -86,15 +87,15 @@
 		end(false);
 	}
 
-	private void end(boolean well) {
+	private void end(boolean successful) {
 		this.ends++;
-		this.completed = well;
+		this.completed = successful;
 		check(this.ends == 1, "ended " + this.ends + " times");
 	}
 
 	private void check(boolean holds, String message) {
 		if (!holds) {
-			this.broken.add(message);
+			this.violations.add(message);
 		}
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/RequestFixture.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/RequestFixture.java
@@ -37,7 +37,7 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * Daemons' request slices over fakes of everything that they use.
+ * The request handling of daemons, with fakes of all its dependencies.
  */
 final class RequestFixture {
 
@@ -51,7 +51,7 @@
 
 	static final ModelName MODEL = new ModelName("quote-7b");
 
-	static final Duration TIME = Duration.ofSeconds(60);
+	static final Duration TIME_LIMIT = Duration.ofSeconds(60);
 
 	static final String ANSWER = "Two jaw crusher units are free on Monday.";
 
@@ -78,8 +78,8 @@
 	RequestFixture() {
 		this.configuration = new Configuration(1,
 				new Register(List.of(), List.of(new ModelEntry(MODEL, 1_000_000)),
-						List.of(new ServiceEntry(ASSISTANT, ServiceEntry.Kind.MODEL, TIME, true),
-								new ServiceEntry(YARD, ServiceEntry.Kind.PLAIN, TIME, false)),
+						List.of(new ServiceEntry(ASSISTANT, ServiceEntry.Kind.MODEL, TIME_LIMIT, true),
+								new ServiceEntry(YARD, ServiceEntry.Kind.PLAIN, TIME_LIMIT, false)),
 						List.of(endpoint("engine-1", ASSISTANT, MODEL), endpoint("engine-2", ASSISTANT, MODEL),
 								endpoint("engine-3", ASSISTANT, MODEL), endpoint("yard-1", YARD, null),
 								endpoint("yard-2", YARD, null))),
@@ -107,7 +107,7 @@
 			.network(peer)
 			.admission(this.admissions.get(vm))
 			.estimator(new Estimator())
-			.policy(RequestFixture::firstWithRoom)
+			.policy(RequestFixture::firstIfCapacity)
 			.pool(this.pool)
 			.reservations(new Groups())
 			.client(this.engines)
@@ -116,10 +116,10 @@
 			.build();
 	}
 
-	private static RoutingChoice firstWithRoom(RoutingRequest request, List<Candidate> candidates,
+	private static RoutingChoice firstIfCapacity(RoutingRequest request, List<Candidate> candidates,
 			RandomGenerator random) {
-		boolean room = !candidates.isEmpty() && candidates.get(0).grantKvTokens() >= request.kvTokens();
-		return (room) ? new RoutingChoice(0, 0, 0) : RoutingChoice.WAIT;
+		boolean hasCapacity = !candidates.isEmpty() && candidates.get(0).grantKvTokens() >= request.kvTokens();
+		return (hasCapacity) ? new RoutingChoice(0, 0, 0) : RoutingChoice.WAIT;
 	}
 
 	long count(String vm, String metric) {
@@ -140,12 +140,12 @@
 
 	static GenerateRequest quote(RequestId id, boolean repeatable) {
 		return new GenerateRequest(Optional.ofNullable(id), ACCOUNT, ASSISTANT, MODEL, "Which crushers are free?", 100,
-				repeatable, TIME);
+				repeatable, TIME_LIMIT);
 	}
 
 	static PlainRequest booking(RequestId id, boolean repeatable) {
 		return new PlainRequest(Optional.ofNullable(id), ACCOUNT, YARD, "POST", "/bookings", Map.of(),
-				"lowloader".getBytes(StandardCharsets.UTF_8), repeatable, TIME);
+				"lowloader".getBytes(StandardCharsets.UTF_8), repeatable, TIME_LIMIT);
 	}
 
 	static EndpointEntry endpoint(String name, ServiceName service, ModelName model) {
@@ -159,27 +159,27 @@
 	}
 
 	/**
-	 * One reservation asked for.
+	 * One requested reservation.
 	 *
-	 * @param kvTokens how much
-	 * @param reserved tells that it is held
-	 * @param failed tells that it can't be held
+	 * @param kvTokens the requested memory, in KV tokens
+	 * @param reserved the callback for a successful reservation
+	 * @param failed the callback for a failed reservation
 	 */
 	record GroupRequest(long kvTokens, Consumer<List<Reservations.GroupMember>> reserved,
 			Consumer<ServingException> failed) {
 	}
 
 	/**
-	 * Notes reservations.
+	 * Records reservations and leaves their outcome to the test.
 	 */
 	private final class Groups implements Reservations {
 
 		@Override
 		public Reservation reserve(RequestId request, ServiceName service, ModelName model, long kvTokens,
 				Duration within, Consumer<List<GroupMember>> reserved, Consumer<ServingException> failed) {
-			GroupRequest asked = new GroupRequest(kvTokens, reserved, failed);
-			RequestFixture.this.groups.add(asked);
-			return () -> RequestFixture.this.groups.remove(asked);
+			GroupRequest groupRequest = new GroupRequest(kvTokens, reserved, failed);
+			RequestFixture.this.groups.add(groupRequest);
+			return () -> RequestFixture.this.groups.remove(groupRequest);
 		}
 
 		@Override
@@ -190,7 +190,7 @@
 	}
 
 	/**
-	 * Estimates what the test says.
+	 * Returns the estimate set by the test.
 	 */
 	private final class Estimator implements TokenEstimator {
 
@@ -206,7 +206,7 @@
 	}
 
 	/**
-	 * The configuration in force.
+	 * Returns the configuration of the fixture.
 	 */
 	private final class Source implements ConfigurationSource {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/RequestLifecycleTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/RequestLifecycleTests.java
@@ -21,7 +21,7 @@
 
 class RequestLifecycleTests {
 
-	private static final Duration GRACE = Duration.ofSeconds(10);
+	private static final Duration GRACE_PERIOD = Duration.ofSeconds(10);
 
 	private final RequestFixture fixture = new RequestFixture();
 
@@ -32,31 +32,32 @@
 	private final RecordingSink sink = new RecordingSink();
 
 	/**
-	 * Symptom: engines generate answers that nobody reads. Sequence: a caller goes away,
-	 * here or at another daemon, and doesn't come back. Cause: only the connection ends.
+	 * Guards against engines that generate answers without a reader. A caller
+	 * disconnects, from this or another daemon, and doesn't reconnect; only its
+	 * connection ends.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "entry-1, true, false, 1", "entry-2, true, false, 1", "entry-1, true, true, 0",
 			"entry-2, true, true, 0", "entry-1, false, false, 0" })
-	void unreadAnswerIsCancelledAfterAGraceTime(String at, boolean repeatable, boolean comesBack, int cancels) {
+	void unreadAnswerIsCancelledAfterTheGracePeriod(String at, boolean repeatable, boolean reconnects, int cancels) {
 		DefaultRequestService entry = ("entry-1".equals(at)) ? this.service : this.other;
 		Cancellable caller = entry.generate(RequestFixture.quote(RequestFixture.id("entry-1", "q"), repeatable),
 				this.sink);
 		this.fixture.run();
 		this.fixture.engines.last().listener.accepted();
 		caller.cancel();
-		this.fixture.advance(GRACE.dividedBy(2));
-		if (comesBack) {
+		this.fixture.advance(GRACE_PERIOD.dividedBy(2));
+		if (reconnects) {
 			this.other.resume(RequestFixture.id("entry-1", "q"), RequestFixture.ACCOUNT, 0, new RecordingSink());
 		}
-		this.fixture.advance(GRACE.dividedBy(2).plusMillis(1));
+		this.fixture.advance(GRACE_PERIOD.dividedBy(2).plusMillis(1));
 		Truth.assertThat(this.fixture.engines.cancels).hasSize(cancels);
 		Truth.assertThat(this.sink.ends).isEqualTo(0);
 	}
 
 	/**
-	 * Symptom: an engine's memory stays in use after its request ended. Sequence: the
-	 * cancel or its answer is lost. Cause: it is sent once.
+	 * Guards against engine memory that stays in use after its request ended. The cancel
+	 * or its result is lost, and the cancel is not sent again.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "ANSWER", "BOOT" })
@@ -68,15 +69,15 @@
 		this.other.cancel(RequestFixture.id("entry-1", "q"), RequestFixture.ACCOUNT);
 		this.fixture.run();
 		Truth.assertThat(this.sink.end()).isEqualTo("CANCELLED UNKNOWN");
-		this.fixture.engines.cancelAnswers.get(0).completeExceptionally(new IllegalStateException("lost"));
+		this.fixture.engines.cancelResults.get(0).completeExceptionally(new IllegalStateException("lost"));
 		this.fixture.advance(Duration.ofSeconds(3));
 		Truth.assertThat(this.fixture.engines.cancels).hasSize(3);
 		if ("ANSWER".equals(confirmation)) {
-			this.fixture.engines.cancelAnswers.get(2).complete(CancelResult.STOPPED);
+			this.fixture.engines.cancelResults.get(2).complete(CancelResult.STOPPED);
 		}
 		else {
 			this.fixture.engines.boot = 2;
-			this.fixture.engines.cancelAnswers.get(2).completeExceptionally(new IllegalStateException("lost"));
+			this.fixture.engines.cancelResults.get(2).completeExceptionally(new IllegalStateException("lost"));
 		}
 		this.fixture.advance(Duration.ofMinutes(5));
 		Truth.assertThat(this.fixture.engines.cancels).hasSize(3);
@@ -84,13 +85,13 @@
 	}
 
 	/**
-	 * Symptom: a caller is told "unknown" although its request never arrived. Sequence: a
-	 * kept connection turns out to be closed while a not-repeatable generation is sent.
-	 * Cause: the entry can't tell, but the engine can.
+	 * Guards against the outcome "unknown" for a request that never arrived. A reused
+	 * connection turns out to be closed while a not-repeatable generation is sent. The
+	 * entry can't determine whether it arrived, but the engine can.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "NEVER_STARTED, ENDPOINT_FAILED NO", "STOPPED, ENDPOINT_FAILED YES", ", ENDPOINT_FAILED UNKNOWN" })
-	void engineIsAskedWhetherALostAttemptBegan(CancelResult answer, String end) {
+	void engineIsQueriedWhetherALostAttemptStarted(CancelResult answer, String end) {
 		this.service.generate(RequestFixture.quote(null, false), this.sink);
 		this.fixture.run();
 		this.fixture.engines.last().listener.failed(FakeEngines.failure(Ran.UNKNOWN, Step.START));
@@ -98,18 +99,18 @@
 		this.fixture.engines.last().listener.failed(
 				new ServingException(ErrorCode.UNKNOWN_REQUEST, Ran.UNKNOWN, Step.RESUME, "engine", "unknown attempt"));
 		if (answer != null) {
-			this.fixture.engines.cancelAnswers.get(0).complete(answer);
+			this.fixture.engines.cancelResults.get(0).complete(answer);
 		}
 		else {
 			this.fixture.advance(Duration.ofSeconds(1));
 		}
 		Truth.assertThat(this.sink.end()).isEqualTo(end);
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(1);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(1);
 		Truth.assertThat(this.service.unfinished()).isEqualTo(0);
 	}
 
 	@Test
-	void cancelledWhileItsEngineIsAskedEndsOnce() {
+	void requestCancelledDuringTheEngineQueryEndsOnce() {
 		this.service.generate(RequestFixture.quote(null, false), this.sink);
 		this.fixture.run();
 		this.fixture.engines.last().listener.failed(FakeEngines.failure(Ran.UNKNOWN, Step.START));
@@ -118,34 +119,34 @@
 				new ServingException(ErrorCode.UNKNOWN_REQUEST, Ran.UNKNOWN, Step.RESUME, "engine", "unknown attempt"));
 		this.service.cancel(this.sink.id(), RequestFixture.ACCOUNT);
 		Truth.assertThat(this.sink.end()).isEqualTo("CANCELLED UNKNOWN");
-		this.fixture.engines.cancelAnswers.get(0).complete(CancelResult.NEVER_STARTED);
+		this.fixture.engines.cancelResults.get(0).complete(CancelResult.NEVER_STARTED);
 		this.fixture.advance(Duration.ofSeconds(5));
-		Truth.assertThat(this.sink.broken).isEmpty();
+		Truth.assertThat(this.sink.violations).isEmpty();
 		Truth.assertThat(this.fixture.pool.observations).hasSize(1);
 		Truth.assertThat(this.fixture.engines.cancels).hasSize(1);
 	}
 
 	/**
-	 * Symptom: a long prompt waits until its deadline beside idle engines. Sequence: the
-	 * grants of its entry are smaller than it needs. Cause: owners grant by what they are
-	 * asked for, and nobody asks for it.
+	 * Guards against a long prompt that waits until its deadline while engines are idle.
+	 * The grants of its entry are too small for it, and owners only grant what is
+	 * requested.
 	 */
 	@Test
-	void poolIsToldAgainAndAgainOfWaitingRequests() {
+	void capacityIsRequestedRepeatedlyForWaitingRequests() {
 		this.fixture.promptTokens = 90_000;
 		this.fixture.pool.slots = 0;
 		this.service.generate(RequestFixture.quote(null, true), this.sink);
 		this.fixture.run();
-		Truth.assertThat(this.fixture.pool.wanted).containsExactly(90_100L);
+		Truth.assertThat(this.fixture.pool.capacityRequests).containsExactly(90_100L);
 		this.fixture.pool.slots(0);
 		this.fixture.run();
-		Truth.assertThat(this.fixture.pool.wanted).hasSize(1);
+		Truth.assertThat(this.fixture.pool.capacityRequests).hasSize(1);
 		this.fixture.advance(Duration.ofSeconds(10));
-		Truth.assertThat(this.fixture.pool.wanted.size()).isIn(Range.closed(10, 12));
+		Truth.assertThat(this.fixture.pool.capacityRequests.size()).isIn(Range.closed(10, 12));
 	}
 
 	@Test
-	void poolIsToldOfAnOverdueFirstTokenBeforeItComes() {
+	void overdueFirstTokenIsReportedBeforeItArrives() {
 		this.service.generate(RequestFixture.quote(null, true), this.sink);
 		this.fixture.advance(Duration.ofMillis(1100));
 		Truth.assertThat(this.fixture.pool.overdue).containsExactly(Duration.ofMillis(200), Duration.ofMillis(700));
@@ -157,7 +158,7 @@
 	}
 
 	@Test
-	void leavingDaemonFinishesWhatItHasAndServesItsIds() {
+	void leavingDaemonCompletesItsRequestsAndServesTheirIds() {
 		this.service.generate(RequestFixture.quote(RequestFixture.id("entry-1", "q"), true), this.sink);
 		this.fixture.run();
 		this.service.leave();
@@ -189,9 +190,9 @@
 		this.service.generate(RequestFixture.quote(null, true), this.sink);
 		this.fixture.run();
 		Truth.assertThat(this.fixture.engines.connections).isEmpty();
-		RequestFixture.GroupRequest asked = this.fixture.groups.get(0);
-		Truth.assertThat(asked.kvTokens()).isEqualTo(200_100);
-		asked.reserved()
+		RequestFixture.GroupRequest groupRequest = this.fixture.groups.get(0);
+		Truth.assertThat(groupRequest.kvTokens()).isEqualTo(200_100);
+		groupRequest.reserved()
 			.accept(List.of(
 					new GroupMember(RequestFixture.endpoint("engine-2", RequestFixture.ASSISTANT, null), "h2", 100_100),
 					new GroupMember(RequestFixture.endpoint("engine-1", RequestFixture.ASSISTANT, null), "h1",
@@ -214,7 +215,7 @@
 	}
 
 	@Test
-	void waitingRequestsStartInOrderWhenRoomAppears() {
+	void waitingRequestsStartInOrderWhenCapacityIsAvailable() {
 		this.fixture.pool.slots = 1;
 		for (int request = 0; request < 300; request++) {
 			this.service.generate(RequestFixture.quote(null, true), new RecordingSink());
@@ -248,7 +249,7 @@
 	}
 
 	@Test
-	void messagesHaveTheirCodes() {
+	void messageCodesAreStable() {
 		MessageCatalog.Builder catalog = MessageCatalog.builder();
 		RequestMessages.register(catalog);
 		Truth.assertThat(catalog.build().code(ForwardFailed.class)).isEqualTo(62);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/WholeAnswerTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/WholeAnswerTests.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Each caller receives the whole of its own answer.
+ * Checks that each caller receives the whole answer to its own request.
  */
 class WholeAnswerTests {
 
@@ -43,10 +43,10 @@
 	private final RecordingSink sink = new RecordingSink();
 
 	static Stream<Arguments> streams() {
-		return Stream.of(row("in order", (engine) -> engine.frames(TEXT, 0, END)), row("each twice", (engine) -> {
+		return Stream.of(row("in order", (engine) -> engine.frames(TEXT, 0, END)), row("duplicated", (engine) -> {
 			engine.frames(TEXT, 0, END);
 			engine.frames(TEXT, 0, END);
-		}), row("crossed", (engine) -> {
+		}), row("reordered", (engine) -> {
 			engine.frames(TEXT, 0, 5);
 			engine.frames(TEXT, 8, END);
 			engine.frames(TEXT, 5, 8);
@@ -54,11 +54,11 @@
 			engine.frames(TEXT, 0, 9);
 			engine.frame(4, 16, TEXT.substring(4, 20));
 			engine.frame(2, END - 2, TEXT.substring(2));
-		}), row("of another attempt between", (engine) -> {
+		}), row("with a frame of another attempt", (engine) -> {
 			engine.frames(TEXT, 0, 5);
 			engine.listener.frame(new EngineFrame(engine.id, 9, 5, 3, "xyz"));
 			engine.frames(TEXT, 5, END);
-		}), row("of another request between", (engine) -> {
+		}), row("with a frame of another request", (engine) -> {
 			engine.frames(TEXT, 0, 5);
 			engine.listener.frame(new EngineFrame(RequestFixture.id("entry-1", "else"), 1, 5, 3, "xyz"));
 			engine.frames(TEXT, 5, END);
@@ -66,13 +66,13 @@
 	}
 
 	/**
-	 * Symptom: doubled, missing or foreign words in an answer. Sequence: frames arrive
-	 * late, crossed, twice, or belong to somebody else. Cause: a stream is passed on as
-	 * it arrives.
+	 * Guards against duplicated, missing or foreign text in an answer. Frames arrive
+	 * late, out of order or twice, or belong to another attempt or request, and the
+	 * stream is forwarded as it arrives.
 	 */
 	@ParameterizedTest(name = "{0}")
 	@MethodSource("streams")
-	void framesMakeOneAnswer(String name, Consumer<FakeEngines.Connection> stream) {
+	void framesAreAssembledIntoOneAnswer(String name, Consumer<FakeEngines.Connection> stream) {
 		FakeEngines.Connection engine = start(true);
 		stream.accept(engine);
 		engine.complete(END);
@@ -81,14 +81,14 @@
 	}
 
 	/**
-	 * Symptom: a notice stops in mid-sentence until its time is up, or ends too soon.
-	 * Sequence: frames are lost on the way, or the connection goes silent in one
-	 * direction, before or after the first token, or breaks. Cause: something between the
-	 * two ends has lost track of the connection; the engine still has the answer.
+	 * Guards against an answer that stalls until its deadline or is truncated. Frames are
+	 * lost, or the connection breaks or delivers nothing in one direction, before or
+	 * after the first token. This happens when a network element between the two ends has
+	 * lost the state of the connection; the engine still has the answer.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "SILENT, 0", "SILENT, 7", "BREAKS, 0", "BREAKS, 7", "GAP, 7", "ENDS_EARLY, 7" })
-	void answerIsReadOnOverANewConnection(String fault, int at) {
+	void answerIsResumedOverANewConnection(String fault, int at) {
 		FakeEngines.Connection old = start(false);
 		old.listener.accepted();
 		old.frames(TEXT, 0, at);
@@ -107,25 +107,25 @@
 		resumed.complete(END);
 		old.complete(3);
 		expectWhole(this.sink);
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(1);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(1);
 	}
 
 	/**
-	 * Symptom: an answer with a seam, or none. Sequence: the engine dies in mid-answer.
-	 * Cause: another engine that starts from the beginning words its answer differently.
+	 * Guards against an inconsistent or missing answer after its engine failed midway.
+	 * Another engine that starts from the beginning would generate a different text.
 	 */
 	@Test
 	void anotherEngineContinuesARepeatableAnswer() {
-		FakeEngines.Connection dying = start(true);
-		dying.frames(TEXT, 0, 7);
-		dying.listener.failed(FakeEngines.failure(Ran.YES, Step.STREAM));
+		FakeEngines.Connection failing = start(true);
+		failing.frames(TEXT, 0, 7);
+		failing.listener.failed(FakeEngines.failure(Ran.YES, Step.STREAM));
 		refuseResumes();
 		FakeEngines.Connection next = this.fixture.engines.last();
-		Truth.assertThat(next.endpoint.name()).isNotEqualTo(dying.endpoint.name());
+		Truth.assertThat(next.endpoint.name()).isNotEqualTo(failing.endpoint.name());
 		Truth.assertThat(next.request.attempt()).isEqualTo(2);
 		Truth.assertThat(next.request.delivered()).isEqualTo(TEXT.substring(0, 7));
 		Truth.assertThat(next.request.firstOffset()).isEqualTo(7);
-		dying.frames(TEXT.toUpperCase(Locale.ROOT), 7, 20);
+		failing.frames(TEXT.toUpperCase(Locale.ROOT), 7, 20);
 		next.frames(TEXT, 7, END);
 		next.complete(END);
 		expectWhole(this.sink);
@@ -136,19 +136,19 @@
 
 	@ParameterizedTest
 	@CsvSource({ "0, ENDPOINT_FAILED UNKNOWN", "7, ENDPOINT_FAILED YES" })
-	void deadEngineEndsANotRepeatableAnswerAtOnce(int at, String end) {
-		FakeEngines.Connection dying = start(false);
-		dying.frames(TEXT, 0, at);
-		dying.listener.failed(FakeEngines.failure(Ran.UNKNOWN, Step.STREAM));
+	void failedEngineEndsANotRepeatableAnswerImmediately(int at, String end) {
+		FakeEngines.Connection failing = start(false);
+		failing.frames(TEXT, 0, at);
+		failing.listener.failed(FakeEngines.failure(Ran.UNKNOWN, Step.STREAM));
 		refuseResumes();
 		Truth.assertThat(this.sink.end()).isEqualTo(end);
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(1);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(1);
 		Truth.assertThat(this.fixture.engines.connections).hasSize(2);
 		Truth.assertThat(Set.copyOf(this.fixture.engines.cancels)).containsExactly("engine-1 entry-1~1~_0 1");
 	}
 
 	@Test
-	void longPromptComputationIsNoReasonToGiveUp() {
+	void longPrefillDoesNotFailTheAttempt() {
 		FakeEngines.Connection engine = start(true);
 		engine.listener.accepted();
 		for (int probe = 1; probe <= 8; probe++) {
@@ -159,13 +159,13 @@
 		this.fixture.engines.last().frames(TEXT, 0, END);
 		this.fixture.engines.last().complete(END);
 		expectWhole(this.sink);
-		Truth.assertThat(this.fixture.engines.worked()).isEqualTo(1);
+		Truth.assertThat(this.fixture.engines.sentWork()).isEqualTo(1);
 	}
 
 	/**
-	 * Symptom: the rest of an answer is lost when a caller's connection breaks. Sequence:
-	 * the caller resumes, at the same or another daemon, while the answer grows or after
-	 * its end. Cause: the answer was only ever on the broken connection.
+	 * Guards against losing the rest of an answer when the connection of its caller
+	 * breaks. The caller resumes at the same or another daemon, during the generation or
+	 * after its end, and the answer must not exist on the broken connection only.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "entry-1, 7, false", "entry-2, 7, false", "entry-1, 7, true", "entry-2, 7, true", "entry-2, 0, true",
@@ -187,31 +187,32 @@
 		this.fixture.run();
 		Truth.assertThat(rest.text.toString()).isEqualTo(TEXT.substring(offset));
 		Truth.assertThat(rest.end()).isEqualTo("completed");
-		Truth.assertThat(rest.broken).isEmpty();
+		Truth.assertThat(rest.violations).isEmpty();
 		expectWhole(this.sink);
 	}
 
 	@Test
-	void answerOfAnotherAccountIsNotShown() {
+	void answerOfAnotherAccountIsNotAccessible() {
 		start(true).frames(TEXT, 0, 7);
-		RecordingSink curious = new RecordingSink();
-		this.service.resume(this.sink.id(), RequestFixture.OTHER_ACCOUNT, 0, curious);
-		Truth.assertThat(curious.end()).isEqualTo("UNKNOWN_REQUEST UNKNOWN");
-		Truth.assertThat(curious.text.toString()).isEmpty();
+		RecordingSink foreignSink = new RecordingSink();
+		this.service.resume(this.sink.id(), RequestFixture.OTHER_ACCOUNT, 0, foreignSink);
+		Truth.assertThat(foreignSink.end()).isEqualTo("UNKNOWN_REQUEST UNKNOWN");
+		Truth.assertThat(foreignSink.text.toString()).isEmpty();
 	}
 
 	/**
-	 * Symptom: a caller at another daemon never sees the end of its answer. Sequence: a
-	 * piece or the end is lost between the daemons. Cause: neither side is told.
+	 * Guards against a caller at another daemon that never receives the end of its
+	 * answer. A part or the end is lost between the daemons, and neither side is
+	 * notified.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "0", "20", "40", "41" })
-	void lossBetweenDaemonsIsMadeGood(int lostOffset) {
+	void messageLossBetweenDaemonsIsRecovered(int lostOffset) {
 		int[] count = { 0 };
 		this.fixture.peers.lost = (message) -> {
-			boolean piece = message instanceof ForwardTokens tokens && tokens.offset() == lostOffset;
+			boolean lostPart = message instanceof ForwardTokens tokens && tokens.offset() == lostOffset;
 			boolean end = message instanceof ForwardDone && lostOffset == END;
-			return (piece || end) && ++count[0] == 1;
+			return (lostPart || end) && ++count[0] == 1;
 		};
 		FakeEngines.Connection engine = startAtOther();
 		engine.frames(TEXT, 0, END);
@@ -221,12 +222,12 @@
 	}
 
 	/**
-	 * Symptom: the caller's answer breaks off although its entry is well. Sequence: the
-	 * home dies while it streams through another entry. Cause: only the home knew the
-	 * request. The entry has the prompt and what it has passed on, so it continues.
+	 * Guards against a truncated answer although the entry of its caller is available.
+	 * The home fails while it streams through another entry. The entry has the prompt and
+	 * the tokens that it delivered, and continues the answer from them.
 	 */
 	@Test
-	void entryContinuesARepeatableAnswerOfADeadHome() {
+	void entryContinuesARepeatableAnswerOfAFailedHome() {
 		FakeEngines.Connection engine = startAtOther();
 		engine.frames(TEXT, 0, 7);
 		this.fixture.run();
@@ -245,12 +246,12 @@
 	}
 
 	@Test
-	void longAnswersAndPromptsPassInPieces() {
+	void longPromptsAndAnswersAreForwardedInParts() {
 		String prompt = "Bến xe ".repeat(200_000);
 		String answer = "xin chào ".repeat(40_000);
 		GenerateRequest quote = RequestFixture.quote(RequestFixture.id("entry-1", "long"), true);
 		this.other.generate(new GenerateRequest(quote.id(), quote.account(), quote.service(), quote.model(), prompt,
-				quote.maxTokens(), true, RequestFixture.TIME), this.sink);
+				quote.maxTokens(), true, RequestFixture.TIME_LIMIT), this.sink);
 		this.fixture.run();
 		FakeEngines.Connection engine = this.fixture.engines.last();
 		Truth.assertThat(engine.request.prompt().equals(prompt)).isTrue();
@@ -276,8 +277,8 @@
 	}
 
 	private void refuseResumes() {
-		int worked = (int) this.fixture.engines.worked();
-		for (int round = 0; round < 5 && this.fixture.engines.worked() == worked; round++) {
+		int worked = (int) this.fixture.engines.sentWork();
+		for (int round = 0; round < 5 && this.fixture.engines.sentWork() == worked; round++) {
 			FakeEngines.Connection resumed = this.fixture.engines.last();
 			if (resumed.request == null && !resumed.closed) {
 				resumed.listener.failed(new ServingException(ErrorCode.UNKNOWN_REQUEST, Ran.NO, Step.RESUME, "engine",
@@ -290,7 +291,7 @@
 	private static void expectWhole(RecordingSink sink) {
 		Truth.assertThat(sink.text.toString()).isEqualTo(TEXT);
 		Truth.assertThat(sink.end()).isEqualTo("completed");
-		Truth.assertThat(sink.broken).isEmpty();
+		Truth.assertThat(sink.violations).isEmpty();
 	}
 
 	private static Arguments row(String name, Consumer<FakeEngines.Connection> stream) {
