--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/Dispatcher.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/Dispatcher.java
@@ -110,7 +110,7 @@
 	}
 
 	/**
-	 * Removes an ended request and settles it with admission.
+	 * Removes an ended request, and withdraws it from admission or settles it there.
 	 * @param record the request
 	 * @param waited whether it was still in the admission queue
 	 * @param tokens the tokens that it used
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/LocalRequests.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/LocalRequests.java
@@ -119,7 +119,7 @@
 
 	private Cancellable adopt(Work work, RequestId oldId, AnswerLog delivered, RecordReader reader) {
 		if (!work.repeatable()) {
-			throw new IllegalArgumentException("request '" + oldId + "' may not be repeated");
+			throw new IllegalArgumentException("request '" + oldId + "' is not repeatable");
 		}
 		Optional<RequestRecord> known = this.records.find(oldId);
 		if (known.isPresent()) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/AtMostOnceTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/AtMostOnceTests.java
@@ -117,9 +117,9 @@
 	}
 
 	/**
-	 * Guards against a wrong "not run" as above. The caller sent its first attempt to the
-	 * home itself, and the entry of its retry has no connection to the home. That the
-	 * entry sent nothing does not show that the first attempt did not run.
+	 * Guards against a wrong "not run". The caller sent its first attempt to the home
+	 * itself, and the entry of its retry has no connection to the home. That the entry
+	 * sent nothing does not show that the first attempt did not run.
 	 */
 	@Test
 	void unreachableHomeYieldsUnknownImmediately() {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/RequestFixture.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/RequestFixture.java
@@ -91,12 +91,12 @@
 		return daemon(vm, 1);
 	}
 
-	DefaultRequestService daemon(String vm, long start) {
-		return daemon(vm, start, RequestSettings.builder().build());
+	DefaultRequestService daemon(String vm, long incarnation) {
+		return daemon(vm, incarnation, RequestSettings.builder().build());
 	}
 
-	DefaultRequestService daemon(String vm, long start, RequestSettings settings) {
-		FakePeers.Peer peer = this.peers.join(new Incarnation(new VmId(vm), start));
+	DefaultRequestService daemon(String vm, long incarnation, RequestSettings settings) {
+		FakePeers.Peer peer = this.peers.join(new Incarnation(new VmId(vm), incarnation));
 		this.admissions.put(vm, new FakeAdmission());
 		this.metrics.put(vm, new MetricRegistry());
 		return DefaultRequestService.builder()
