--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/DefaultRequestService.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/DefaultRequestService.java
@@ -52,7 +52,7 @@
 		RequestSettings settings = builder.settings;
 		this.membership = ports.membership();
 		this.records = new RecordStore(ports.scheduler(), settings);
-		UsedIds usedIds = new UsedIds(settings.spentIds(), ports.random());
+		UsedIds usedIds = new UsedIds(settings.maxUsedIds(), ports.random());
 		RequestFlow flow = new RequestFlow(ports, settings, metrics, this.records, usedIds);
 		RequestIds ids = new RequestIds(this.membership.self());
 		this.local = new LocalRequests(ports, settings, metrics, new RequestParts(this.records, usedIds, ids, flow));
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RecordStore.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RecordStore.java
@@ -120,7 +120,8 @@
 	}
 
 	private long dropAt(RequestRecord record) {
-		Duration retention = (record.repeatable()) ? this.settings.keepRepeatable() : this.settings.keepNotRepeatable();
+		Duration retention = (record.repeatable()) ? this.settings.repeatableRetention()
+				: this.settings.notRepeatableRetention();
 		long now = this.clock.nanos();
 		long from = (record.repeatable()) ? now : Math.max(now, record.deadline());
 		return from + retention.toNanos();
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestSettings.java
@@ -16,15 +16,15 @@
 
 	private final Duration forwardAcknowledgement;
 
-	private final Duration keepNotRepeatable;
+	private final Duration notRepeatableRetention;
 
-	private final Duration keepRepeatable;
+	private final Duration repeatableRetention;
 
 	private final int recordCount;
 
 	private final long recordBytes;
 
-	private final int spentIds;
+	private final int maxUsedIds;
 
 	private final int maxBodyBytes;
 
@@ -38,12 +38,12 @@
 		this.streamSilence = positive("stream silence", builder.streamSilence);
 		this.orphanGrace = positive("orphan grace", builder.orphanGrace);
 		this.forwardAcknowledgement = positive("forward acknowledgement", builder.forwardAcknowledgement);
-		this.keepNotRepeatable = positive("time to keep records", builder.keepNotRepeatable);
-		this.keepRepeatable = positive("time to keep records", builder.keepRepeatable);
+		this.notRepeatableRetention = positive("retention of not-repeatable records", builder.notRepeatableRetention);
+		this.repeatableRetention = positive("retention of repeatable records", builder.repeatableRetention);
 		this.recordCount = positive("record count", builder.recordCount);
 		this.recordBytes = positive("record bytes", builder.recordBytes);
-		this.spentIds = positive("spent ids", builder.spentIds);
-		this.maxBodyBytes = positive("largest body", builder.maxBodyBytes);
+		this.maxUsedIds = positive("maximum number of used ids", builder.maxUsedIds);
+		this.maxBodyBytes = positive("maximum body size", builder.maxBodyBytes);
 		this.retryShare = builder.retryShare;
 		this.retriesPerSecond = builder.retriesPerSecond;
 		this.maxAttempts = positive("attempts", builder.maxAttempts);
@@ -81,16 +81,16 @@
 	 * How long past its deadline the record of a not-repeatable request is kept.
 	 * @return 2 min by default
 	 */
-	public Duration keepNotRepeatable() {
-		return this.keepNotRepeatable;
+	public Duration notRepeatableRetention() {
+		return this.notRepeatableRetention;
 	}
 
 	/**
 	 * How long past its end the record of a repeatable request is kept.
 	 * @return 30 s by default
 	 */
-	public Duration keepRepeatable() {
-		return this.keepRepeatable;
+	public Duration repeatableRetention() {
+		return this.repeatableRetention;
 	}
 
 	/**
@@ -113,8 +113,8 @@
 	 * The maximum number of caller-chosen ids of not-repeatable requests per incarnation.
 	 * @return 1.5 million by default
 	 */
-	public int spentIds() {
-		return this.spentIds;
+	public int maxUsedIds() {
+		return this.maxUsedIds;
 	}
 
 	/**
@@ -179,15 +179,15 @@
 
 		private Duration forwardAcknowledgement = Duration.ofSeconds(2);
 
-		private Duration keepNotRepeatable = Duration.ofMinutes(2);
+		private Duration notRepeatableRetention = Duration.ofMinutes(2);
 
-		private Duration keepRepeatable = Duration.ofSeconds(30);
+		private Duration repeatableRetention = Duration.ofSeconds(30);
 
 		private int recordCount = 20_000;
 
 		private long recordBytes = 16 << 20;
 
-		private int spentIds = 1_500_000;
+		private int maxUsedIds = 1_500_000;
 
 		private int maxBodyBytes = 16 << 20;
 
@@ -215,13 +215,13 @@
 			return this;
 		}
 
-		public Builder keepNotRepeatable(Duration value) {
-			this.keepNotRepeatable = value;
+		public Builder notRepeatableRetention(Duration value) {
+			this.notRepeatableRetention = value;
 			return this;
 		}
 
-		public Builder keepRepeatable(Duration value) {
-			this.keepRepeatable = value;
+		public Builder repeatableRetention(Duration value) {
+			this.repeatableRetention = value;
 			return this;
 		}
 
@@ -235,8 +235,8 @@
 			return this;
 		}
 
-		public Builder spentIds(int value) {
-			this.spentIds = value;
+		public Builder maxUsedIds(int value) {
+			this.maxUsedIds = value;
 			return this;
 		}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/AtMostOnceTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/AtMostOnceTests.java
@@ -228,7 +228,8 @@
 
 	@Test
 	void fullIdTableRefusesOnlyFurtherCallerChosenIds() {
-		DefaultRequestService small = this.fixture.daemon("entry-3", 1, RequestSettings.builder().spentIds(1).build());
+		DefaultRequestService small = this.fixture.daemon("entry-3", 1,
+				RequestSettings.builder().maxUsedIds(1).build());
 		small.call(RequestFixture.booking(RequestFixture.id("entry-3", "a"), false), this.first);
 		small.call(RequestFixture.booking(RequestFixture.id("entry-3", "b"), false), this.retry);
 		Truth.assertThat(this.retry.end()).isEqualTo("OVERLOADED NO");
