--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestSettings.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * How long the request slice waits for what, and how much it keeps.
+ * Settings of request handling: timeouts, retention, size limits and the retry budget.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
@@ -16,15 +16,15 @@
 
 	private final Duration forwardAcknowledgement;
 
-	private final Duration keepNotRepeatable;
+	private final Duration notRepeatableRetention;
 
-	private final Duration keepRepeatable;
+	private final Duration repeatableRetention;
 
 	private final int recordCount;
 
 	private final long recordBytes;
 
-	private final int spentIds;
+	private final int maxUsedIds;
 
 	private final int maxBodyBytes;
 
@@ -38,12 +38,12 @@
 		this.streamSilence = positive("stream silence", builder.streamSilence);
 		this.orphanGrace = positive("orphan grace", builder.orphanGrace);
 		this.forwardAcknowledgement = positive("forward acknowledgement", builder.forwardAcknowledgement);
-		this.keepNotRepeatable = positive("time to keep records", builder.keepNotRepeatable);
-		this.keepRepeatable = positive("time to keep records", builder.keepRepeatable);
+		this.notRepeatableRetention = positive("retention of not-repeatable records", builder.notRepeatableRetention);
+		this.repeatableRetention = positive("retention of repeatable records", builder.repeatableRetention);
 		this.recordCount = positive("record count", builder.recordCount);
 		this.recordBytes = positive("record bytes", builder.recordBytes);
-		this.spentIds = positive("spent ids", builder.spentIds);
-		this.maxBodyBytes = positive("largest body", builder.maxBodyBytes);
+		this.maxUsedIds = positive("maximum number of used ids", builder.maxUsedIds);
+		this.maxBodyBytes = positive("maximum body size", builder.maxBodyBytes);
 		this.retryShare = builder.retryShare;
 		this.retriesPerSecond = builder.retriesPerSecond;
 		this.maxAttempts = positive("attempts", builder.maxAttempts);
@@ -54,7 +54,7 @@
 	}
 
 	/**
-	 * How long a stream may bring nothing before it is resumed over a new connection.
+	 * How long a stream may deliver nothing before it is resumed over a new connection.
 	 * @return 5 s by default
 	 */
 	public Duration streamSilence() {
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	 * How long a repeatable request without a reader goes on.
+	 * How long a repeatable request without a reader continues before it is cancelled.
 	 * @return 10 s by default
 	 */
 	public Duration orphanGrace() {
@@ -70,7 +70,7 @@
 	}
 
 	/**
-	 * How long to wait for the home of a request to acknowledge a forward.
+	 * How long to wait until the home daemon of a request acknowledges a forward.
 	 * @return 2 s by default
 	 */
 	public Duration forwardAcknowledgement() {
@@ -81,20 +81,20 @@
 	 * How long past its deadline the record of a not-repeatable request is kept.
 	 * @return 2 min by default
 	 */
-	public Duration keepNotRepeatable() {
-		return this.keepNotRepeatable;
+	public Duration notRepeatableRetention() {
+		return this.notRepeatableRetention;
 	}
 
 	/**
 	 * How long past its end the record of a repeatable request is kept.
 	 * @return 30 s by default
 	 */
-	public Duration keepRepeatable() {
-		return this.keepRepeatable;
+	public Duration repeatableRetention() {
+		return this.repeatableRetention;
 	}
 
 	/**
-	 * How many ended records are kept.
+	 * The maximum number of ended records kept.
 	 * @return 20,000 by default
 	 */
 	public int recordCount() {
@@ -102,7 +102,7 @@
 	}
 
 	/**
-	 * How much memory ended records may take.
+	 * The maximum memory of ended records, in bytes.
 	 * @return 16 MiB by default
 	 */
 	public long recordBytes() {
@@ -110,15 +110,15 @@
 	}
 
 	/**
-	 * How many caller-chosen ids of not-repeatable requests one incarnation takes.
+	 * The maximum number of caller-chosen ids of not-repeatable requests per incarnation.
 	 * @return 1.5 million by default
 	 */
-	public int spentIds() {
-		return this.spentIds;
+	public int maxUsedIds() {
+		return this.maxUsedIds;
 	}
 
 	/**
-	 * The largest prompt or body, in bytes.
+	 * The maximum size of a prompt or body, in bytes.
 	 * @return 16 MiB by default
 	 */
 	public int maxBodyBytes() {
@@ -126,7 +126,7 @@
 	}
 
 	/**
-	 * Retries allowed for each first attempt.
+	 * The retries added to the retry budget for each first attempt.
 	 * @return 0.1 by default
 	 */
 	public double retryShare() {
@@ -134,7 +134,8 @@
 	}
 
 	/**
-	 * Retries a second allowed besides.
+	 * The retries added to the retry budget per second, in addition to
+	 * {@link #retryShare()}.
 	 * @return 0.5 by default
 	 */
 	public double retriesPerSecond() {
@@ -142,7 +143,7 @@
 	}
 
 	/**
-	 * How many attempts one request may have.
+	 * The maximum number of attempts per request.
 	 * @return 3 by default
 	 */
 	public int maxAttempts() {
@@ -168,7 +169,7 @@
 	}
 
 	/**
-	 * Collects settings; not safe for use by multiple threads.
+	 * Builder of settings; not safe for use by multiple threads.
 	 */
 	public static final class Builder {
 
@@ -178,15 +179,15 @@
 
 		private Duration forwardAcknowledgement = Duration.ofSeconds(2);
 
-		private Duration keepNotRepeatable = Duration.ofMinutes(2);
+		private Duration notRepeatableRetention = Duration.ofMinutes(2);
 
-		private Duration keepRepeatable = Duration.ofSeconds(30);
+		private Duration repeatableRetention = Duration.ofSeconds(30);
 
 		private int recordCount = 20_000;
 
 		private long recordBytes = 16 << 20;
 
-		private int spentIds = 1_500_000;
+		private int maxUsedIds = 1_500_000;
 
 		private int maxBodyBytes = 16 << 20;
 
@@ -214,13 +215,13 @@
 			return this;
 		}
 
-		public Builder keepNotRepeatable(Duration value) {
-			this.keepNotRepeatable = value;
+		public Builder notRepeatableRetention(Duration value) {
+			this.notRepeatableRetention = value;
 			return this;
 		}
 
-		public Builder keepRepeatable(Duration value) {
-			this.keepRepeatable = value;
+		public Builder repeatableRetention(Duration value) {
+			this.repeatableRetention = value;
 			return this;
 		}
 
@@ -234,8 +235,8 @@
 			return this;
 		}
 
-		public Builder spentIds(int value) {
-			this.spentIds = value;
+		public Builder maxUsedIds(int value) {
+			this.maxUsedIds = value;
 			return this;
 		}
 
