--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/AnswerLog.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/AnswerLog.java
@@ -3,55 +3,55 @@
 import java.util.Arrays;
 
 /**
- * The text of an answer with the token offsets at which its pieces begin.
+ * An append-only log of the pieces of a generated answer, indexed by token offset.
  *
  * <p>
- * Invariant: pieces are contiguous from offset 0 and never change once added, whatever is
- * offered in whatever order. Pieces lie in one buffer and two arrays because a daemon
- * keeps thousands of ended answers for a while; an object for each token would take ten
- * times the memory of its text. Not safe for use by multiple threads.
+ * Invariant: pieces are contiguous from offset 0 and immutable once added, regardless of
+ * what is offered and in which order. Pieces are stored in one buffer and two arrays
+ * because a daemon retains thousands of ended answers for a while; one object per token
+ * would take ten times the memory of its text. Not safe for use by multiple threads.
  */
 public final class AnswerLog {
 
-	private static final int FIRST_SIZE = 16;
+	private static final int INITIAL_CAPACITY = 16;
 
-	private static final int FIXED_BYTES = 160;
+	private static final int BASE_BYTES = 160;
 
 	private static final int BYTES_PER_PIECE = 2 * Integer.BYTES;
 
 	private final StringBuilder text = new StringBuilder();
 
-	private int[] tokenEnds = new int[FIRST_SIZE];
+	private int[] tokenEnds = new int[INITIAL_CAPACITY];
 
-	private int[] textEnds = new int[FIRST_SIZE];
+	private int[] textEnds = new int[INITIAL_CAPACITY];
 
 	private int pieces;
 
 	/**
-	 * Offers a piece.
+	 * Offers a piece, which is added if it extends the answer.
 	 * @param offset the offset of its first token
-	 * @param tokens how many tokens it holds
-	 * @param pieceText the tokens' text
-	 * @return what became of it
+	 * @param tokens the number of tokens in it
+	 * @param pieceText the text of the tokens
+	 * @return whether the piece was added, and if not, why
 	 */
-	public Offer offer(long offset, int tokens, String pieceText) {
+	public OfferResult offer(long offset, int tokens, String pieceText) {
 		long next = next();
 		if (offset > next) {
-			return Offer.GAP;
+			return OfferResult.GAP;
 		}
 		if (tokens <= 0 || offset + tokens <= next) {
-			return Offer.DUPLICATE;
+			return OfferResult.DUPLICATE;
 		}
 		if (offset == next) {
 			append(next + tokens, pieceText);
-			return Offer.ADDED;
+			return OfferResult.ADDED;
 		}
 		return offerOverlap(offset, offset + tokens, pieceText);
 	}
 
 	/**
-	 * The offset of the first token not yet here.
-	 * @return the number of tokens
+	 * Returns the offset of the next token to be added.
+	 * @return the number of tokens in the log
 	 */
 	public long next() {
 		return (this.pieces != 0) ? this.tokenEnds[this.pieces - 1] : 0;
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	 * The index of the piece that begins at an offset.
+	 * Returns the index of the piece that begins at an offset.
 	 * @param offset the offset
 	 * @return the index, the number of pieces for the end of the answer, or -1 if no
 	 * piece begins there
@@ -83,16 +83,16 @@
 	}
 
 	/**
-	 * Several pieces in one.
-	 * @param from the index of the first
-	 * @param to the index after the last
+	 * Merges a range of pieces into one piece.
+	 * @param from the index of the first piece, inclusive
+	 * @param to the index of the last piece, exclusive
 	 * @return one piece with their tokens and text
 	 */
 	public AnswerPiece range(int from, int to) {
 		int firstToken = (from != 0) ? this.tokenEnds[from - 1] : 0;
 		int firstChar = (from != 0) ? this.textEnds[from - 1] : 0;
-		String part = this.text.substring(firstChar, this.textEnds[to - 1]);
-		return new AnswerPiece(firstToken, this.tokenEnds[to - 1] - firstToken, part);
+		String rangeText = this.text.substring(firstChar, this.textEnds[to - 1]);
+		return new AnswerPiece(firstToken, this.tokenEnds[to - 1] - firstToken, rangeText);
 	}
 
 	public int textLength() {
@@ -100,10 +100,10 @@
 	}
 
 	/**
-	 * How much text pieces hold.
-	 * @param from the index of the first
-	 * @param to the index after the last
-	 * @return characters
+	 * Returns the length of the text of a range of pieces.
+	 * @param from the index of the first piece, inclusive
+	 * @param to the index of the last piece, exclusive
+	 * @return the length in characters
 	 */
 	public int textLength(int from, int to) {
 		int first = (from != 0) ? this.textEnds[from - 1] : 0;
@@ -115,7 +115,7 @@
 	}
 
 	/**
-	 * Gives back spare memory once nothing more will come.
+	 * Releases spare capacity once the answer has ended.
 	 */
 	public void trim() {
 		this.text.trimToSize();
@@ -124,35 +124,35 @@
 	}
 
 	/**
-	 * About how much memory this takes.
-	 * @return bytes
+	 * Estimates the memory taken by this log.
+	 * @return the size in bytes
 	 */
 	public long bytes() {
-		return FIXED_BYTES + this.text.length() + (long) this.tokenEnds.length * BYTES_PER_PIECE;
+		return BASE_BYTES + this.text.length() + (long) this.tokenEnds.length * BYTES_PER_PIECE;
 	}
 
-	private Offer offerOverlap(long offset, long end, String pieceText) {
+	private OfferResult offerOverlap(long offset, long end, String pieceText) {
 		int index = indexAt(offset);
 		if (index < 0) {
-			return Offer.GAP;
+			return OfferResult.GAP;
 		}
-		int known = this.text.length() - ((index != 0) ? this.textEnds[index - 1] : 0);
-		String there = this.text.substring(this.text.length() - known);
-		if (!pieceText.startsWith(there)) {
-			// The piece repeats tokens with another text, or cuts one apart. Appending
-			// its end would put a seam into the answer that the caller sees as doubled
-			// or missing letters; reading again from the next offset can't.
-			return Offer.GAP;
+		int existingLength = this.text.length() - ((index != 0) ? this.textEnds[index - 1] : 0);
+		String existing = this.text.substring(this.text.length() - existingLength);
+		if (!pieceText.startsWith(existing)) {
+			// The piece repeats tokens with different text or splits one. Appending its
+			// remainder would leave duplicate or missing characters in the answer;
+			// resuming at the next offset can't.
+			return OfferResult.GAP;
 		}
-		append(end, pieceText.substring(known));
-		return Offer.ADDED;
+		append(end, pieceText.substring(existingLength));
+		return OfferResult.ADDED;
 	}
 
 	private void append(long end, String pieceText) {
 		if (this.pieces == this.tokenEnds.length) {
-			int size = Math.max(FIRST_SIZE, 2 * this.pieces);
-			this.tokenEnds = Arrays.copyOf(this.tokenEnds, size);
-			this.textEnds = Arrays.copyOf(this.textEnds, size);
+			int capacity = Math.max(INITIAL_CAPACITY, 2 * this.pieces);
+			this.tokenEnds = Arrays.copyOf(this.tokenEnds, capacity);
+			this.textEnds = Arrays.copyOf(this.textEnds, capacity);
 		}
 		this.text.append(pieceText);
 		this.tokenEnds[this.pieces] = Math.toIntExact(end);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/AnswerReader.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/AnswerReader.java
@@ -7,10 +7,10 @@
 import org.bramleyscale.internal.request.AnswerSink;
 
 /**
- * Hands a generated answer to one caller, from an offset on.
+ * Delivers a generated answer to one caller, starting at an offset.
  *
  * <p>
- * Invariant: each piece is handed on once and in order. Confined to the scheduler's
+ * Invariant: each piece is delivered once and in order. Confined to the scheduler's
  * thread.
  */
 public final class AnswerReader implements RecordReader {
@@ -19,20 +19,20 @@
 
 	private final long offset;
 
-	private boolean announced;
+	private boolean admissionReported;
 
 	private int index;
 
-	public AnswerReader(AnswerSink sink, long offset, boolean announced) {
+	public AnswerReader(AnswerSink sink, long offset, boolean admissionReported) {
 		this.sink = sink;
 		this.offset = offset;
-		this.announced = announced;
+		this.admissionReported = admissionReported;
 	}
 
 	@Override
 	public void admitted(RequestId id) {
-		if (!this.announced) {
-			this.announced = true;
+		if (!this.admissionReported) {
+			this.admissionReported = true;
 			this.sink.admitted(id);
 		}
 	}
@@ -60,7 +60,7 @@
 
 	@Override
 	public void replied(ServiceReply reply) {
-		throw new IllegalStateException("a generation got the reply of a plain service");
+		throw new IllegalStateException("a generation request received a plain service's reply");
 	}
 
 	@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/PlainReader.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/PlainReader.java
@@ -7,7 +7,7 @@
 import org.bramleyscale.internal.request.PlainSink;
 
 /**
- * Hands a plain service's answer to one caller.
+ * Delivers a plain service's reply to one caller.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -16,17 +16,17 @@
 
 	private final PlainSink sink;
 
-	private boolean announced;
+	private boolean admissionReported;
 
-	public PlainReader(PlainSink sink, boolean announced) {
+	public PlainReader(PlainSink sink, boolean admissionReported) {
 		this.sink = sink;
-		this.announced = announced;
+		this.admissionReported = admissionReported;
 	}
 
 	@Override
 	public void admitted(RequestId id) {
-		if (!this.announced) {
-			this.announced = true;
+		if (!this.admissionReported) {
+			this.admissionReported = true;
 			this.sink.admitted(id);
 		}
 	}
@@ -42,7 +42,7 @@
 
 	@Override
 	public void completed(AnswerLog log, EngineUsage usage) {
-		throw new IllegalStateException("a call of a plain service got a generated answer");
+		throw new IllegalStateException("a plain service call received a generated answer");
 	}
 
 	@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/RecordReader.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/RecordReader.java
@@ -6,21 +6,21 @@
 import org.bramleyscale.internal.endpoint.ServiceReply;
 
 /**
- * Reads one request's record as it grows.
+ * Receives the events of one request's record.
  *
  * <p>
  * Called on the scheduler's thread. Exactly one of {@code completed}, {@code replied} and
- * {@code failed} is called, and nothing after. The log may be kept: it doesn't change
- * after the end.
+ * {@code failed} is called, and nothing after. An implementation may keep the log, which
+ * does not change after the end.
  */
 public interface RecordReader {
 
 	void admitted(RequestId id);
 
 	/**
-	 * Chooses where to begin in an answer.
+	 * Selects the position in the answer from which to read.
 	 * @param log the answer so far, or null for a call of a plain service
-	 * @return false if this reader can't read from the offset that it wants
+	 * @return false if the answer can't be read from this reader's offset
 	 */
 	boolean begin(AnswerLog log);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/AttemptLimits.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/AttemptLimits.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * How patient an attempt is.
+ * The timeouts and bounds of one generation attempt.
  *
- * @param silence how long a stream that should bring something may bring nothing
- * @param gap how long a missing piece may still arrive on the open connection
- * @param resumePause the pause before another resume when one failed
- * @param resumes how many connections may follow one another without any progress
- * @param answerChars the longest answer that is kept, in characters
+ * @param silence how long an active stream may send nothing before the attempt is resumed
+ * @param gap how long to wait for a missing piece on the open connection
+ * @param resumePause the back-off before the next resume after a failed one
+ * @param resumes the maximum number of consecutive resumes without progress
+ * @param answerChars the maximum length of an answer, in characters
  */
 public record AttemptLimits(Duration silence, Duration gap, Duration resumePause, int resumes, int answerChars) {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/AttemptOwner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/AttemptOwner.java
@@ -4,7 +4,7 @@
 import org.bramleyscale.internal.endpoint.EngineUsage;
 
 /**
- * Takes what becomes of one attempt.
+ * Receives the events of one attempt.
  *
  * <p>
  * Called on the scheduler's thread. At most one of {@code completed} and {@code lost} is
@@ -12,20 +12,20 @@
  */
 public interface AttemptOwner {
 
-	/** The answer in the log grew. */
+	/** Tokens were added to the answer log. */
 	void grew();
 
-	/** A frame came that no one waits for any more. */
+	/** A stale or duplicate frame was discarded. */
 	void lateFrame();
 
-	/** The answer is read on over a new connection. */
+	/** The answer is being resumed over a new connection. */
 	void resumed();
 
 	void completed(EngineUsage usage);
 
 	/**
-	 * The attempt can't go on.
-	 * @param failure says with its {@code ran} what is known of this attempt
+	 * The attempt can't continue.
+	 * @param failure the failure; its {@code ran} says whether this attempt ran
 	 */
 	void lost(ServingException failure);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/CancelDriver.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/CancelDriver.java
@@ -16,19 +16,19 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * Cancels attempts at engines until the engines confirm.
+ * Cancels attempts at engines, retrying until each engine confirms.
  *
  * <p>
- * A cancel that gets lost leaves the engine generating for nobody, and its memory in use
- * for as long; one would see memory used beyond what live requests explain. So each
- * cancel is repeated, with a growing pause, until the engine answers it, has started anew
- * since, or is gone from the register. Confined to the scheduler's thread.
+ * If a cancel is lost, the engine keeps generating an answer that nobody reads and holds
+ * its memory meanwhile; memory use then exceeds what live requests account for. Therefore
+ * each cancel is retried with exponential back-off until the engine answers it, has
+ * restarted since, or is no longer in the register. Confined to the scheduler's thread.
  */
 public final class CancelDriver {
 
-	private static final Duration FIRST_PAUSE = Duration.ofSeconds(1);
+	private static final Duration INITIAL_BACK_OFF = Duration.ofSeconds(1);
 
-	private static final Duration LONGEST_PAUSE = Duration.ofSeconds(30);
+	private static final Duration MAX_BACK_OFF = Duration.ofSeconds(30);
 
 	private final Scheduler scheduler;
 
@@ -38,7 +38,7 @@
 
 	private final RequestMetrics metrics;
 
-	private final List<Pending> pending = new ArrayList<>();
+	private final List<PendingCancel> pending = new ArrayList<>();
 
 	public CancelDriver(Scheduler scheduler, EngineClient client,
 			Function<EndpointId, Optional<EndpointEntry>> register, RequestMetrics metrics) {
@@ -49,7 +49,7 @@
 	}
 
 	/**
-	 * Begins to cancel an attempt.
+	 * Starts cancelling an attempt.
 	 * @param endpoint the engine
 	 * @param id the request
 	 * @param attempt the attempt
@@ -60,35 +60,35 @@
 	}
 
 	/**
-	 * Begins to cancel an attempt.
+	 * Starts cancelling an attempt.
 	 * @param endpoint the engine
 	 * @param id the request
 	 * @param attempt the attempt
-	 * @param answered takes the engine's answer, if it ever gives one
+	 * @param onResult called with the engine's result if it ever answers
 	 */
-	public void cancel(EndpointEntry endpoint, RequestId id, int attempt, Consumer<CancelResult> answered) {
-		Pending cancel = new Pending(endpoint, id, attempt, answered);
+	public void cancel(EndpointEntry endpoint, RequestId id, int attempt, Consumer<CancelResult> onResult) {
+		PendingCancel cancel = new PendingCancel(endpoint, id, attempt, onResult);
 		this.pending.add(cancel);
 		cancel.send();
 	}
 
 	/**
-	 * How many cancels no engine has confirmed yet.
-	 * @return their number
+	 * Returns the number of cancels that are not confirmed yet.
+	 * @return the number of pending cancels
 	 */
 	public int unconfirmed() {
 		return this.pending.size();
 	}
 
-	private static Duration longer(Duration pause) {
-		Duration doubled = pause.multipliedBy(2);
-		return (doubled.compareTo(LONGEST_PAUSE) < 0) ? doubled : LONGEST_PAUSE;
+	private static Duration nextBackOff(Duration backOff) {
+		Duration doubled = backOff.multipliedBy(2);
+		return (doubled.compareTo(MAX_BACK_OFF) < 0) ? doubled : MAX_BACK_OFF;
 	}
 
 	/**
-	 * One cancel that isn't confirmed yet.
+	 * A cancel that is not confirmed yet.
 	 */
-	private final class Pending {
+	private final class PendingCancel {
 
 		private final EndpointEntry endpoint;
 
@@ -96,16 +96,16 @@
 
 		private final int attempt;
 
-		private final Consumer<CancelResult> answered;
+		private final Consumer<CancelResult> onResult;
 
-		private Duration pause = FIRST_PAUSE;
+		private Duration backOff = INITIAL_BACK_OFF;
 
-		private Long boot;
+		private Long lastBoot;
 
 		private boolean done;
 
-		private Pending(EndpointEntry endpoint, RequestId id, int attempt, Consumer<CancelResult> answered) {
-			this.answered = answered;
+		private PendingCancel(EndpointEntry endpoint, RequestId id, int attempt, Consumer<CancelResult> onResult) {
+			this.onResult = onResult;
 			this.endpoint = endpoint;
 			this.id = id;
 			this.attempt = attempt;
@@ -115,42 +115,42 @@
 			if (this.done) {
 				return;
 			}
-			if (gone()) {
+			if (unregistered()) {
 				confirm();
 				return;
 			}
 			CancelDriver.this.metrics.cancelSent();
-			// Scheduled before the answer is known: an answer may never come, not even an
-			// error.
-			CancelDriver.this.scheduler.schedule(this.pause, this::send);
-			this.pause = longer(this.pause);
+			// The retry is scheduled before the outcome of the call is known because the
+			// call may never complete, not even with an error.
+			CancelDriver.this.scheduler.schedule(this.backOff, this::send);
+			this.backOff = nextBackOff(this.backOff);
 			CancelDriver.this.client.cancel(this.endpoint, this.id, this.attempt).whenComplete((result, failure) -> {
 				if (failure == null) {
 					boolean first = !this.done;
 					confirm();
 					if (first) {
-						this.answered.accept(result);
+						this.onResult.accept(result);
 					}
 				}
 				else {
-					compareBoot();
+					checkForRestart();
 				}
 			});
 		}
 
-		private void compareBoot() {
+		private void checkForRestart() {
 			CancelDriver.this.client.report(this.endpoint).whenComplete((report, failure) -> {
 				if (failure != null) {
 					return;
 				}
-				if (this.boot != null && this.boot != report.boot()) {
+				if (this.lastBoot != null && this.lastBoot != report.boot()) {
 					confirm();
 				}
-				this.boot = report.boot();
+				this.lastBoot = report.boot();
 			});
 		}
 
-		private boolean gone() {
+		private boolean unregistered() {
 			return CancelDriver.this.register.apply(this.endpoint.name()).isEmpty();
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/EngineConnection.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/EngineConnection.java
@@ -7,11 +7,11 @@
 import org.bramleyscale.internal.time.Cancellable;
 
 /**
- * One connection over which an attempt's answer is read.
+ * One of the connections over which an attempt's answer is read.
  *
  * <p>
- * Invariant: closed once it is closed, also if the client calls back before it returns
- * the handle. Confined to the scheduler's thread.
+ * Invariant: the call is cancelled once this is closed, even if the client calls back
+ * before it returns the handle. Confined to the scheduler's thread.
  */
 final class EngineConnection implements EngineListener {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/Failures.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/Failures.java
@@ -8,7 +8,7 @@
 import org.bramleyscale.Step;
 
 /**
- * What failures mean for going on.
+ * Classifies and converts failures of attempts.
  */
 public final class Failures {
 
@@ -16,9 +16,9 @@
 	}
 
 	/**
-	 * Whether every endpoint would answer the same.
+	 * Whether a failure would be the same at every endpoint.
 	 * @param code the failure's code
-	 * @return true if another attempt can't help
+	 * @return true if a retry can't succeed
 	 */
 	public static boolean definitive(ErrorCode code) {
 		return switch (code) {
@@ -28,10 +28,10 @@
 	}
 
 	/**
-	 * The same failure with another statement on whether the request ran.
+	 * Returns a copy of a failure with the given {@link Ran} value.
 	 * @param failure the failure
-	 * @param ran whether it ran
-	 * @return the failure itself if it says so already
+	 * @param ran whether the request ran
+	 * @return the copy, or the failure itself if it has that value already
 	 */
 	public static ServingException withRan(ServingException failure, Ran ran) {
 		if (failure.ran() == ran) {
@@ -42,11 +42,11 @@
 	}
 
 	/**
-	 * The failure of a future.
-	 * @param thrown what the future failed with
-	 * @param step the step at which it was used
+	 * Converts the exception of a failed future.
+	 * @param thrown the exception with which the future completed
+	 * @param step the step in which the future was used
 	 * @param peer the peer that was called
-	 * @return the failure; an unexpected one says that the request may have run
+	 * @return the failure; {@link Ran#UNKNOWN} if the exception is unexpected
 	 */
 	public static ServingException of(Throwable thrown, Step step, String peer) {
 		Throwable cause = (thrown instanceof CompletionException && thrown.getCause() != null) ? thrown.getCause()
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/GenerationAttempt.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/GenerationAttempt.java
@@ -15,27 +15,28 @@
 import org.bramleyscale.internal.endpoint.EngineRequest;
 import org.bramleyscale.internal.endpoint.EngineUsage;
 import org.bramleyscale.internal.request.answer.AnswerLog;
-import org.bramleyscale.internal.request.answer.Offer;
+import org.bramleyscale.internal.request.answer.OfferResult;
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * One generation at one engine, read over as many connections as it takes.
+ * One attempt to generate an answer at one engine, resumed over further connections when
+ * necessary.
  *
  * <p>
- * An open connection may go silent for good without an error, because something between
- * the two ends has lost track of it. One would notice a stream that stops in mid-answer
- * until the deadline. Therefore a silent connection is not trusted: the answer is resumed
- * at the missing offset on a new connection beside it, and the old one is closed once the
- * new one brings something. The work itself is sent to the engine once only.
+ * An open connection may stop delivering data without an error when an intermediary has
+ * dropped the connection's state. The stream would then stall in mid-answer until the
+ * deadline. Therefore, after a silence timeout the answer is resumed at the next missing
+ * offset on an additional connection, and the old one is closed once the new one makes
+ * progress. The request itself is sent to the engine only once.
  *
  * <p>
- * Invariants: only frames of this request and attempt reach the log; after the end or
- * {@link #close()} the owner hears of late frames only. Confined to the scheduler's
- * thread.
+ * Invariants: only frames of this request and attempt are added to the log; after the end
+ * or {@link #close()} the owner is notified of late frames only. Confined to the
+ * scheduler's thread.
  */
 public final class GenerationAttempt {
 
-	private static final int EARLY_FRAMES = 256;
+	private static final int MAX_OUT_OF_ORDER_FRAMES = 256;
 
 	private final Scheduler scheduler;
 
@@ -51,15 +52,15 @@
 
 	private final AttemptOwner owner;
 
-	private final Duration firstTokenPatience;
+	private final Duration firstTokenTimeout;
 
 	private final List<EngineConnection> open = new ArrayList<>();
 
-	private final TreeMap<Long, EngineFrame> early = new TreeMap<>();
+	private final TreeMap<Long, EngineFrame> outOfOrder = new TreeMap<>();
 
-	private final ResettableTimer silence;
+	private final ResettableTimer silenceTimer;
 
-	private final ResettableTimer gap;
+	private final ResettableTimer gapTimer;
 
 	private EngineConnection newest;
 
@@ -75,12 +76,12 @@
 	 * Prepares an attempt; {@link #start()} sends it.
 	 * @param scheduler the scheduler
 	 * @param client calls the engine
-	 * @param limits how patient to be
+	 * @param limits the timeouts and bounds
 	 * @param endpoint the engine
-	 * @param request what to generate
-	 * @param predictedFirstToken when the first token is expected
-	 * @param log takes the answer
-	 * @param owner hears what becomes of it
+	 * @param request the engine request
+	 * @param predictedFirstToken the predicted time to the first token
+	 * @param log the log to which the answer is added
+	 * @param owner receives the events of the attempt
 	 */
 	public GenerationAttempt(Scheduler scheduler, EngineClient client, AttemptLimits limits, EndpointEntry endpoint,
 			EngineRequest request, Duration predictedFirstToken, AnswerLog log, AttemptOwner owner) {
@@ -91,14 +92,14 @@
 		this.request = request;
 		this.log = log;
 		this.owner = owner;
-		this.firstTokenPatience = predictedFirstToken.plus(limits.silence());
-		this.silence = new ResettableTimer(scheduler, this::onSilence);
-		this.gap = new ResettableTimer(scheduler, this::onGap);
+		this.firstTokenTimeout = predictedFirstToken.plus(limits.silence());
+		this.silenceTimer = new ResettableTimer(scheduler, this::onSilenceTimeout);
+		this.gapTimer = new ResettableTimer(scheduler, this::onGapTimeout);
 	}
 
 	public void start() {
 		EngineConnection connection = new EngineConnection(this, false);
-		opened(connection);
+		register(connection);
 		connection.handle(this.client.generate(this.endpoint, this.request, connection));
 	}
 
@@ -111,12 +112,12 @@
 	}
 
 	/**
-	 * Closes all connections; the engine is not told.
+	 * Closes all connections without cancelling the attempt at the engine.
 	 */
 	public void close() {
 		this.closed = true;
-		this.silence.close();
-		this.gap.close();
+		this.silenceTimer.close();
+		this.gapTimer.close();
 		List.copyOf(this.open).forEach(EngineConnection::close);
 		this.open.clear();
 	}
@@ -127,12 +128,12 @@
 		}
 		this.accepted = true;
 		if (connection.resuming() && !this.streaming) {
-			// The engine knows the attempt and still computes the prompt, so the silence
-			// had a good reason.
+			// The engine knows the attempt and is still in prefill, which explains the
+			// silence.
 			this.resumesWithoutProgress = 0;
-			closeAllBut(connection);
+			closeOthers(connection);
 		}
-		watchSilence();
+		restartSilenceTimer();
 	}
 
 	void frame(EngineConnection connection, EngineFrame frame) {
@@ -141,10 +142,10 @@
 			return;
 		}
 		this.accepted = true;
-		Offer offer = this.log.offer(frame.offset(), frame.tokens(), frame.text());
+		OfferResult offer = this.log.offer(frame.offset(), frame.tokens(), frame.text());
 		switch (offer) {
 			case ADDED -> progress(connection);
-			case GAP -> missing(frame);
+			case GAP -> bufferOutOfOrder(frame);
 			default -> this.owner.lateFrame();
 		}
 	}
@@ -155,8 +156,8 @@
 			return;
 		}
 		if (usage.answerTokens() > this.log.next()) {
-			// The end arrived before all tokens did: passing it on would give the caller
-			// a shortened answer that looks whole.
+			// The end arrived before all tokens did. Completing now would deliver a
+			// truncated answer that looks complete.
 			resume();
 			return;
 		}
@@ -170,86 +171,86 @@
 			return;
 		}
 		if (!connection.resuming() && !this.accepted && failure.ran() == Ran.NO) {
-			lose(failure);
+			abandon(failure);
 			return;
 		}
 		if (Failures.definitive(failure.code())) {
-			lose(failure);
+			abandon(failure);
 			return;
 		}
-		boolean forgotten = connection.resuming() && failure.code() == ErrorCode.UNKNOWN_REQUEST;
-		if (forgotten || this.resumesWithoutProgress >= this.limits.resumes()) {
-			lose(failure("can't continue the answer: " + failure.getMessage()));
+		boolean unknownToEngine = connection.resuming() && failure.code() == ErrorCode.UNKNOWN_REQUEST;
+		if (unknownToEngine || this.resumesWithoutProgress >= this.limits.resumes()) {
+			abandon(failure("can't resume the answer: " + failure.getMessage()));
 			return;
 		}
 		Duration pause = this.limits.resumePause().multipliedBy(this.resumesWithoutProgress);
-		this.silence.stop();
-		this.gap.start(pause);
+		this.silenceTimer.stop();
+		this.gapTimer.start(pause);
 	}
 
 	private void progress(EngineConnection connection) {
 		this.streaming = true;
 		this.resumesWithoutProgress = 0;
-		drainEarly();
-		closeAllBut(connection);
-		if (this.early.isEmpty()) {
-			this.gap.stop();
+		appendOutOfOrder();
+		closeOthers(connection);
+		if (this.outOfOrder.isEmpty()) {
+			this.gapTimer.stop();
 		}
-		watchSilence();
+		restartSilenceTimer();
 		this.owner.grew();
 		if (!this.closed && this.log.textLength() > this.limits.answerChars()) {
-			lose(failure("sent more than " + this.limits.answerChars() + " characters"));
+			abandon(failure("exceeded the maximum answer length of " + this.limits.answerChars() + " characters"));
 		}
 	}
 
-	private void drainEarly() {
-		while (!this.early.isEmpty() && this.early.firstKey() <= this.log.next()) {
-			EngineFrame frame = this.early.pollFirstEntry().getValue();
+	private void appendOutOfOrder() {
+		while (!this.outOfOrder.isEmpty() && this.outOfOrder.firstKey() <= this.log.next()) {
+			EngineFrame frame = this.outOfOrder.pollFirstEntry().getValue();
 			this.log.offer(frame.offset(), frame.tokens(), frame.text());
 		}
 	}
 
-	private void missing(EngineFrame frame) {
-		if (this.early.size() < EARLY_FRAMES) {
-			this.early.put(frame.offset(), frame);
+	private void bufferOutOfOrder(EngineFrame frame) {
+		if (this.outOfOrder.size() < MAX_OUT_OF_ORDER_FRAMES) {
+			this.outOfOrder.put(frame.offset(), frame);
 		}
-		if (!this.gap.running()) {
-			this.gap.start(this.limits.gap());
+		if (!this.gapTimer.running()) {
+			this.gapTimer.start(this.limits.gap());
 		}
 	}
 
-	private void onGap() {
+	private void onGapTimeout() {
 		resume();
 	}
 
-	private void onSilence() {
+	private void onSilenceTimeout() {
 		resume();
 	}
 
 	private void resume() {
 		if (this.resumesWithoutProgress >= this.limits.resumes()) {
-			lose(failure("sent nothing over " + this.resumesWithoutProgress + " connections"));
+			abandon(failure("sent nothing over " + this.resumesWithoutProgress + " connections"));
 			return;
 		}
 		this.resumesWithoutProgress++;
 		this.owner.resumed();
 		EngineConnection connection = new EngineConnection(this, true);
-		opened(connection);
+		register(connection);
 		connection.handle(this.client.resume(this.endpoint, this.request.id(), this.request.attempt(), this.log.next(),
 				connection));
 	}
 
-	private void opened(EngineConnection connection) {
+	private void register(EngineConnection connection) {
 		this.newest = connection;
 		this.open.add(connection);
-		this.silence.start(this.limits.silence());
+		this.silenceTimer.start(this.limits.silence());
 	}
 
-	private void watchSilence() {
-		this.silence.start((this.streaming) ? this.limits.silence() : this.firstTokenPatience);
+	private void restartSilenceTimer() {
+		this.silenceTimer.start((this.streaming) ? this.limits.silence() : this.firstTokenTimeout);
 	}
 
-	private void closeAllBut(EngineConnection kept) {
+	private void closeOthers(EngineConnection kept) {
 		if (this.open.size() <= 1) {
 			return;
 		}
@@ -262,15 +263,15 @@
 		this.newest = kept;
 	}
 
-	private void lose(ServingException failure) {
+	private void abandon(ServingException failure) {
 		close();
 		this.owner.lost(failure);
 	}
 
-	private ServingException failure(String what) {
+	private ServingException failure(String problem) {
 		String peer = this.endpoint.name().toString();
 		Step step = (this.streaming) ? Step.STREAM : Step.START;
-		return new ServingException(ErrorCode.ENDPOINT_FAILED, ran(), step, peer, "endpoint '" + peer + "' " + what);
+		return new ServingException(ErrorCode.ENDPOINT_FAILED, ran(), step, peer, "endpoint '" + peer + "' " + problem);
 	}
 
 	private Ran ran() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/ResettableTimer.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/ResettableTimer.java
@@ -6,12 +6,14 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * A timer that is put off far more often than it fires.
+ * A timer that is cheap to reset, for timeouts that are reset far more often than they
+ * fire.
  *
  * <p>
- * Each token puts the silence timer off. Scheduling and cancelling a task for each token
- * would cost more than handling the token, so a later due time is only noted, and the
- * task looks at it when it runs. Confined to the scheduler's thread.
+ * Each token resets the silence timer. Scheduling and cancelling a task for each token
+ * would cost more than handling the token, so a reset to a later time only stores the new
+ * due time, and the scheduled task checks it when it runs. Confined to the scheduler's
+ * thread.
  */
 public final class ResettableTimer {
 
@@ -21,9 +23,9 @@
 
 	private Cancellable scheduled;
 
-	private long scheduledFor;
+	private long scheduledAt;
 
-	private long due;
+	private long dueAt;
 
 	private boolean running;
 
@@ -33,13 +35,13 @@
 	}
 
 	/**
-	 * Starts the timer, or starts it anew.
-	 * @param delay after which the task runs
+	 * Starts or restarts the timer.
+	 * @param delay the delay after which the task runs
 	 */
 	public void start(Duration delay) {
-		this.due = this.scheduler.nanos() + Math.max(0, delay.toNanos());
+		this.dueAt = this.scheduler.nanos() + Math.max(0, delay.toNanos());
 		this.running = true;
-		if (this.scheduled != null && this.scheduledFor - this.due <= 0) {
+		if (this.scheduled != null && this.scheduledAt - this.dueAt <= 0) {
 			return;
 		}
 		if (this.scheduled != null) {
@@ -53,7 +55,7 @@
 	}
 
 	/**
-	 * Stops the timer for good and forgets the task that is scheduled.
+	 * Stops the timer and cancels the scheduled task.
 	 */
 	public void close() {
 		stop();
@@ -68,8 +70,8 @@
 	}
 
 	private void schedule() {
-		this.scheduledFor = this.due;
-		this.scheduled = this.scheduler.schedule(Duration.ofNanos(this.due - this.scheduler.nanos()), this::fire);
+		this.scheduledAt = this.dueAt;
+		this.scheduled = this.scheduler.schedule(Duration.ofNanos(this.dueAt - this.scheduler.nanos()), this::fire);
 	}
 
 	private void fire() {
@@ -77,7 +79,7 @@
 		if (!this.running) {
 			return;
 		}
-		if (this.due - this.scheduler.nanos() > 0) {
+		if (this.dueAt - this.scheduler.nanos() > 0) {
 			schedule();
 			return;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/RetryBudget.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/RetryBudget.java
@@ -5,13 +5,13 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Limits retries to a share of first attempts plus a small rate.
+ * Limits retries to a share of first attempts plus a constant rate.
  *
  * <p>
- * When many endpoints fail at once, each failed attempt would otherwise become several
- * attempts, and the endpoints that still work would drown in them: one would see attempts
- * a second rise while completed requests fall. A token bucket filled by first attempts
- * bounds this. Deterministic given the clock; not safe for use by multiple threads.
+ * When many endpoints fail at once, each failed attempt would otherwise cause several
+ * retries and overload the remaining endpoints: attempts per second would rise while
+ * completed requests fall. A token bucket refilled by first attempts and over time bounds
+ * this. Deterministic given the clock; not safe for use by multiple threads.
  */
 public final class RetryBudget {
 
@@ -19,50 +19,50 @@
 
 	private final double share;
 
-	private final double perSecond;
+	private final double retriesPerSecond;
 
 	private final double capacity;
 
 	private double tokens;
 
-	private long filledAt;
+	private long refilledAt;
 
 	/**
 	 * Creates a full budget.
 	 * @param clock the clock
-	 * @param share retries allowed for each first attempt
-	 * @param perSecond retries a second allowed besides
-	 * @param capacity how many unused retries may be saved up
+	 * @param share retries allowed per first attempt
+	 * @param retriesPerSecond additional retries allowed per second
+	 * @param capacity the maximum number of unused retries that accumulate
 	 */
-	public RetryBudget(Clock clock, double share, double perSecond, double capacity) {
+	public RetryBudget(Clock clock, double share, double retriesPerSecond, double capacity) {
 		if (share < 0 || share > 1) {
 			throw new IllegalArgumentException("retry share must be from 0 to 1, was " + share);
 		}
-		if (perSecond < 0 || capacity < 0) {
+		if (retriesPerSecond < 0 || capacity < 0) {
 			throw new IllegalArgumentException(
-					"retry rate and capacity must not be negative, were " + perSecond + " and " + capacity);
+					"retry rate and capacity must not be negative, were " + retriesPerSecond + " and " + capacity);
 		}
 		this.clock = clock;
 		this.share = share;
-		this.perSecond = perSecond;
+		this.retriesPerSecond = retriesPerSecond;
 		this.capacity = capacity;
 		this.tokens = capacity;
-		this.filledAt = clock.nanos();
+		this.refilledAt = clock.nanos();
 	}
 
-	/** Tells of a first attempt. */
+	/** Records a first attempt, which adds to the budget. */
 	public void firstAttempt() {
 		add(this.share);
 	}
 
 	/**
-	 * Takes the right to retry once.
-	 * @return false if the budget is used up
+	 * Consumes one retry from the budget.
+	 * @return false if the budget is exhausted
 	 */
 	public boolean take() {
 		long now = this.clock.nanos();
-		add(this.perSecond * (now - this.filledAt) / Duration.ofSeconds(1).toNanos());
-		this.filledAt = now;
+		add(this.retriesPerSecond * (now - this.refilledAt) / Duration.ofSeconds(1).toNanos());
+		this.refilledAt = now;
 		if (this.tokens < 1) {
 			return false;
 		}
@@ -70,8 +70,8 @@
 		return true;
 	}
 
-	private void add(double more) {
-		this.tokens = Math.min(this.capacity, this.tokens + more);
+	private void add(double amount) {
+		this.tokens = Math.min(this.capacity, this.tokens + amount);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/life/LifeEvent.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/life/LifeEvent.java
@@ -3,22 +3,22 @@
 import org.bramleyscale.Ran;
 
 /**
- * Something that happens to a request.
+ * An event in the lifecycle of a request.
  *
  * <p>
- * Events are values; {@link RequestLife#apply} decides whether one has an effect in the
- * state that it meets. Immutable and safe for use by multiple threads.
+ * {@link RequestLife#apply} decides whether an event has an effect in the current state.
+ * Immutable and safe for use by multiple threads.
  */
 public sealed interface LifeEvent {
 
 	/**
-	 * Hands this event to the method that takes it.
-	 * @param life the life to change
-	 * @return whether it had an effect
+	 * Applies this event by calling the state machine's method for it.
+	 * @param life the state machine
+	 * @return whether the event had an effect
 	 */
 	boolean applyTo(RequestLife life);
 
-	/** Admission took the request. */
+	/** The request was admitted. */
 	record Admitted() implements LifeEvent {
 
 		@Override
@@ -28,7 +28,7 @@
 
 	}
 
-	/** The request began to wait for an endpoint. */
+	/** The request was queued for an endpoint. */
 	record Queued() implements LifeEvent {
 
 		@Override
@@ -52,7 +52,7 @@
 	 * A part of the answer arrived.
 	 *
 	 * @param offset the offset of its first token
-	 * @param tokens how many tokens it holds
+	 * @param tokens the number of tokens in it
 	 */
 	record Frame(long offset, int tokens) implements LifeEvent {
 
@@ -64,9 +64,9 @@
 	}
 
 	/**
-	 * An attempt ended without completion.
+	 * An attempt ended without completing.
 	 *
-	 * @param ran what the endpoint or the connection vouches for
+	 * @param ran whether the attempt ran, as reported by the endpoint or connection
 	 */
 	record AttemptLost(Ran ran) implements LifeEvent {
 
@@ -77,7 +77,7 @@
 
 	}
 
-	/** The whole answer is there. */
+	/** The complete answer was received. */
 	record Completed() implements LifeEvent {
 
 		@Override
@@ -87,7 +87,7 @@
 
 	}
 
-	/** The request is given up. */
+	/** The request failed. */
 	record Failed() implements LifeEvent {
 
 		@Override
@@ -97,7 +97,7 @@
 
 	}
 
-	/** The request is not admitted. */
+	/** The request was refused by admission. */
 	record Refused() implements LifeEvent {
 
 		@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/life/Outcome.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/life/Outcome.java
@@ -1,17 +1,17 @@
 package org.bramleyscale.internal.request.life;
 
 /**
- * How a request ended.
+ * The final outcome of a request.
  */
 public enum Outcome {
 
-	/** Its whole answer is there. */
+	/** The complete answer was received. */
 	COMPLETED,
 
-	/** It was admitted and did not complete. */
+	/** The request was admitted but did not complete. */
 	FAILED,
 
-	/** It was never admitted. */
+	/** The request was not admitted. */
 	REFUSED
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/life/RequestLife.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/life/RequestLife.java
@@ -5,14 +5,14 @@
 import org.bramleyscale.Ran;
 
 /**
- * The state machine of one request.
+ * The lifecycle state machine of one request.
  *
  * <p>
- * Invariants: there is at most one outcome and it never changes; nothing has an effect
- * after it. What is known to have run, or may have run, in a lost attempt is never taken
- * back; only the attempt in flight can still turn out not to have run, and only before
- * its first frame. Offsets of frames are contiguous over all attempts. Not safe for use
- * by multiple threads.
+ * Invariants: there is at most one outcome, it never changes, and no event has an effect
+ * after it. Once a lost attempt is recorded as {@link Ran#YES} or {@link Ran#UNKNOWN},
+ * that is never reverted; only the attempt in flight can still turn out not to have run,
+ * and only before its first frame. Frame offsets are contiguous across all attempts. Not
+ * safe for use by multiple threads.
  */
 public final class RequestLife {
 
@@ -27,18 +27,18 @@
 	private Outcome outcome;
 
 	/**
-	 * Begins a life.
-	 * @param earlier whether the request ran before this life: NO, or UNKNOWN if an
-	 * earlier life elsewhere can't be asked
+	 * Creates the state machine in state {@link RequestState#RECEIVED}.
+	 * @param earlierRan whether the request ran before: NO, or UNKNOWN if it may have run
+	 * at a daemon that can't be asked
 	 */
-	public RequestLife(Ran earlier) {
-		this.settled = earlier;
+	public RequestLife(Ran earlierRan) {
+		this.settled = earlierRan;
 	}
 
 	/**
 	 * Applies an event.
 	 * @param event the event
-	 * @return whether it had an effect; false leaves this life as it was
+	 * @return whether it had an effect; if false, the state is unchanged
 	 */
 	public boolean apply(LifeEvent event) {
 		return event.applyTo(this);
@@ -53,41 +53,42 @@
 	}
 
 	/**
-	 * How the request ended.
-	 * @return the outcome, or empty while it has none
+	 * Returns how the request ended.
+	 * @return the outcome, or empty if the request has not ended
 	 */
 	public Optional<Outcome> outcome() {
 		return Optional.ofNullable(this.outcome);
 	}
 
 	/**
-	 * Whether the request ran, as far as can be said now.
-	 * @return {@code NO} only if nothing was sent or every endpoint vouched that it did
-	 * not begin
+	 * Returns whether the request ran, as far as is known now.
+	 * @return {@code NO} only if nothing was sent, or if every attempt is confirmed not
+	 * to have begun
 	 */
 	public Ran ran() {
 		return stronger(this.settled, this.inFlight);
 	}
 
 	/**
-	 * Whether it ran, attempts in flight left aside.
-	 * @return what never changes back
+	 * Returns whether the request ran, not counting an attempt in flight.
+	 * @return a value that never decreases in the order NO, UNKNOWN, YES
 	 */
 	public Ran settledRan() {
 		return this.settled;
 	}
 
 	/**
-	 * The offset of the next token.
-	 * @return tokens received so far
+	 * Returns the offset of the next token.
+	 * @return the number of tokens received so far
 	 */
 	public long offset() {
 		return this.offset;
 	}
 
 	/**
-	 * Begins at an offset with tokens that came from elsewhere.
-	 * @param tokens tokens already delivered
+	 * Sets the initial offset of a request whose first tokens were delivered by another
+	 * daemon.
+	 * @param tokens the number of tokens already delivered
 	 */
 	public void continueAt(long tokens) {
 		if (this.state != RequestState.RECEIVED) {
@@ -97,15 +98,15 @@
 	}
 
 	boolean admitted() {
-		return move(RequestState.RECEIVED, RequestState.ADMITTED);
+		return transition(RequestState.RECEIVED, RequestState.ADMITTED);
 	}
 
 	boolean queued() {
-		return move(RequestState.ADMITTED, RequestState.QUEUED);
+		return transition(RequestState.ADMITTED, RequestState.QUEUED);
 	}
 
 	boolean sent() {
-		if (!move(RequestState.QUEUED, RequestState.STARTED)) {
+		if (!transition(RequestState.QUEUED, RequestState.STARTED)) {
 			return false;
 		}
 		this.inFlight = Ran.UNKNOWN;
@@ -158,17 +159,17 @@
 		return true;
 	}
 
-	private void end(Outcome how) {
+	private void end(Outcome finalOutcome) {
 		this.settled = ran();
 		this.state = RequestState.ENDED;
-		this.outcome = how;
+		this.outcome = finalOutcome;
 	}
 
 	private boolean running() {
 		return this.state == RequestState.STARTED || this.state == RequestState.STREAMING;
 	}
 
-	private boolean move(RequestState from, RequestState to) {
+	private boolean transition(RequestState from, RequestState to) {
 		if (this.state != from) {
 			return false;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/life/RequestState.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/life/RequestState.java
@@ -1,26 +1,26 @@
 package org.bramleyscale.internal.request.life;
 
 /**
- * Where a request is in its life.
+ * The lifecycle state of a request.
  */
 public enum RequestState {
 
-	/** It was read from its caller. */
+	/** The request was received from its caller. */
 	RECEIVED,
 
-	/** Admission took it. */
+	/** The request was admitted. */
 	ADMITTED,
 
-	/** It waits for an endpoint, at first or again after a lost attempt. */
+	/** The request waits for an endpoint, initially or after a lost attempt. */
 	QUEUED,
 
-	/** It was sent to an endpoint. */
+	/** An attempt was sent to an endpoint. */
 	STARTED,
 
-	/** Part of its answer has arrived. */
+	/** Part of the answer has been received. */
 	STREAMING,
 
-	/** It has its outcome. */
+	/** The request has its outcome. */
 	ENDED
 
 }
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/attempt/RetryBudgetTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/attempt/RetryBudgetTests.java
@@ -14,12 +14,12 @@
 	private final RetryBudget budget = new RetryBudget(this.clock, 0.1, 0.5, 10);
 
 	/**
-	 * Symptom: endpoints get several times the attempts of normal traffic while fewer
-	 * requests complete. Sequence: all endpoints fail, each request is tried three times.
-	 * Cause: retries without a bound amplify an outage.
+	 * Guards against retry amplification: when all endpoints fail and each request is
+	 * tried three times, unbounded retries send several times the normal number of
+	 * attempts while fewer requests complete.
 	 */
 	@Test
-	void bounds1000FailedRequestsToATenthMore() {
+	void limits1000FailedRequestsToTenPercentRetries() {
 		int retries = 0;
 		for (int request = 0; request < 1000; request++) {
 			this.budget.firstAttempt();
@@ -29,7 +29,7 @@
 	}
 
 	@Test
-	void allowsAFewWithoutTraffic() {
+	void allowsLimitedRetriesWithoutTraffic() {
 		int atOnce = 0;
 		for (int attempt = 0; attempt < 100; attempt++) {
 			atOnce += take();
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/life/RequestLifeTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/life/RequestLifeTests.java
@@ -16,7 +16,7 @@
 class RequestLifeTests {
 
 	@Property(seed = "4711")
-	void anyOrderOfEventsKeepsTheInvariants(@ForAll("events") List<LifeEvent> events) {
+	void invariantsHoldForAnyEventOrder(@ForAll("events") List<LifeEvent> events) {
 		RequestLife life = new RequestLife(Ran.NO);
 		boolean sent = false;
 		for (LifeEvent event : events) {
