--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/AnswerCaller.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/AnswerCaller.java
@@ -9,11 +9,11 @@
 import org.bramleyscale.internal.request.answer.RecordReader;
 
 /**
- * A caller that takes a generated answer.
+ * A forward caller that receives a generated answer.
  *
- * @param sink takes the answer
+ * @param sink receives the answer
  */
-public record AnswerCaller(AnswerSink sink) implements CallerSide {
+public record AnswerCaller(AnswerSink sink) implements ForwardCaller {
 
 	@Override
 	public void admitted(RequestId id) {
@@ -32,7 +32,7 @@
 
 	@Override
 	public void replied(ServiceReply reply) {
-		throw new IllegalStateException("a generation got the reply of a plain service");
+		throw new IllegalStateException("a generation request received a plain service's reply");
 	}
 
 	@Override
@@ -41,8 +41,8 @@
 	}
 
 	@Override
-	public RecordReader reader(long offset, boolean announced) {
-		return new AnswerReader(this.sink, offset, announced);
+	public RecordReader reader(long offset, boolean admissionReported) {
+		return new AnswerReader(this.sink, offset, admissionReported);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/CancelRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/CancelRequest.java
@@ -3,10 +3,10 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Tells the home that a caller cancels its request.
+ * Asks the home daemon of a request to cancel it for its caller.
  *
  * @param id the request
- * @param account who asks
+ * @param account the requesting client account
  */
 public record CancelRequest(String id, String account) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardAccepted.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardAccepted.java
@@ -3,9 +3,9 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Tells the entry that the home has the request.
+ * Notifies the entry daemon that the home daemon has admitted the request.
  *
- * @param forward the number that the entry gave this forward
+ * @param forward the forward number, assigned by the entry daemon
  * @param id the request
  */
 public record ForwardAccepted(long forward, String id) implements PeerMessage {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardBody.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardBody.java
@@ -3,11 +3,11 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * A further part of a prompt or body on its way to the home.
+ * A further part of a prompt or body, sent to the home daemon.
  *
- * @param forward the number that the entry gave this forward
- * @param index the part's number, from 1
- * @param part the part
+ * @param forward the forward number, assigned by the entry daemon
+ * @param index the index of the part, from 1
+ * @param part the content of the part
  */
 public record ForwardBody(long forward, int index, byte[] part) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardBodyCredit.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardBodyCredit.java
@@ -3,10 +3,10 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Tells the entry how many parts of a body the home has taken.
+ * Notifies the entry daemon how many parts of a body the home daemon has received.
  *
- * @param forward the number that the entry gave this forward
- * @param parts parts taken, the first one included
+ * @param forward the forward number, assigned by the entry daemon
+ * @param parts the number of parts received, including the first
  */
 public record ForwardBodyCredit(long forward, int parts) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/CallerSide.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardCaller.java
@@ -7,12 +7,12 @@
 import org.bramleyscale.internal.request.answer.RecordReader;
 
 /**
- * A caller whose request is forwarded, whatever kind of answer it takes.
+ * The caller of a forwarded request, for either kind of answer.
  *
  * <p>
  * Called on the scheduler's thread.
  */
-public interface CallerSide {
+public interface ForwardCaller {
 
 	void admitted(RequestId id);
 
@@ -25,11 +25,12 @@
 	void failed(ServingException failure);
 
 	/**
-	 * Reads on from a record of this daemon.
-	 * @param offset the first token that the caller doesn't have
-	 * @param announced whether the caller has been told an id
-	 * @return a reader that hands the rest to this caller
+	 * Creates a reader that continues the answer from a record of this daemon.
+	 * @param offset the offset of the first token that the caller has not received
+	 * @param admissionReported whether the caller has received the id of its admitted
+	 * request
+	 * @return a reader that delivers the rest of the answer to this caller
 	 */
-	RecordReader reader(long offset, boolean announced);
+	RecordReader reader(long offset, boolean admissionReported);
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardCredit.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardCredit.java
@@ -3,10 +3,10 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Tells the home how much of an answer the entry has passed on.
+ * Notifies the home daemon how much of an answer the entry daemon has delivered.
  *
- * @param forward the number that the entry gave this forward
- * @param characters characters passed on since this forward began
+ * @param forward the forward number, assigned by the entry daemon
+ * @param characters the number of characters delivered since this forward began
  */
 public record ForwardCredit(long forward, long characters) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardDeadline.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardDeadline.java
@@ -6,7 +6,7 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * The deadline of a forwarded request at the entry.
+ * The deadline of a forwarded request at the entry daemon.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -15,41 +15,41 @@
 
 	private static final long MARGIN_DIVISOR = 20;
 
-	private static final Duration LARGEST_MARGIN = Duration.ofMillis(50);
+	private static final Duration MAX_MARGIN = Duration.ofMillis(50);
 
 	private final Scheduler scheduler;
 
-	private final long due;
+	private final long dueAt;
 
 	private final Cancellable timer;
 
 	/**
-	 * Starts the time.
+	 * Starts the timer.
 	 * @param scheduler the scheduler
-	 * @param time how long the request may take, or null if only its home knows
-	 * @param passed run once the time is up
+	 * @param time the time left, or null if only the home daemon knows the deadline
+	 * @param onDeadline run when the deadline passes
 	 */
-	ForwardDeadline(Scheduler scheduler, Duration time, Runnable passed) {
+	ForwardDeadline(Scheduler scheduler, Duration time, Runnable onDeadline) {
 		this.scheduler = scheduler;
-		this.due = scheduler.nanos() + ((time != null) ? time.toNanos() : 0);
-		this.timer = (time != null) ? scheduler.schedule(time, passed) : () -> {
+		this.dueAt = scheduler.nanos() + ((time != null) ? time.toNanos() : 0);
+		this.timer = (time != null) ? scheduler.schedule(time, onDeadline) : () -> {
 		};
 	}
 
-	Duration left() {
-		return Duration.ofNanos(this.due - this.scheduler.nanos());
+	Duration timeLeft() {
+		return Duration.ofNanos(this.dueAt - this.scheduler.nanos());
 	}
 
 	/**
-	 * The time that the home gets: a little less than is left here, so that the home's
-	 * answer to a passed deadline, which knows more, arrives before this entry has to
-	 * answer by itself.
+	 * Returns the time left for the home daemon. It is slightly shorter than the time
+	 * left here, so that the home daemon's deadline failure, which has more detail,
+	 * arrives before this entry daemon reports its own.
 	 * @return the time
 	 */
-	Duration leftAtHome() {
-		Duration left = left();
-		Duration margin = left.dividedBy(MARGIN_DIVISOR);
-		return left.minus((margin.compareTo(LARGEST_MARGIN) < 0) ? margin : LARGEST_MARGIN);
+	Duration timeLeftAtHome() {
+		Duration timeLeft = timeLeft();
+		Duration margin = timeLeft.dividedBy(MARGIN_DIVISOR);
+		return timeLeft.minus((margin.compareTo(MAX_MARGIN) < 0) ? margin : MAX_MARGIN);
 	}
 
 	void close() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardDetach.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardDetach.java
@@ -3,9 +3,9 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Tells the home that the entry no longer reads.
+ * Notifies the home daemon that the entry daemon has stopped reading the answer.
  *
- * @param forward the number that the entry gave this forward
+ * @param forward the forward number, assigned by the entry daemon
  */
 public record ForwardDetach(long forward) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardDone.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardDone.java
@@ -3,14 +3,14 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Tells the entry that the whole answer is there.
+ * Notifies the entry daemon that the answer is complete.
  *
- * @param forward the number that the entry gave this forward
+ * @param forward the forward number, assigned by the entry daemon
  * @param tokens the offset after the last token
- * @param promptTokens tokens of the prompt
- * @param cachedTokens prompt tokens found in the prefix cache
- * @param answerTokens tokens of the answer as the engine counted them
- * @param finishReason why the answer ends
+ * @param promptTokens the number of prompt tokens
+ * @param cachedTokens the number of prompt tokens found in the prefix cache
+ * @param answerTokens the number of answer tokens as counted by the engine
+ * @param finishReason the reason why generation stopped
  */
 public record ForwardDone(long forward, long tokens, int promptTokens, int cachedTokens, int answerTokens,
 		String finishReason) implements PeerMessage {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardFailed.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardFailed.java
@@ -9,35 +9,36 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Tells the entry that the request did not complete.
+ * Notifies the entry daemon that the request did not complete.
  *
- * @param forward the number that the entry gave this forward
- * @param code the reason
- * @param ran whether it ran
- * @param step where it ended
+ * @param forward the forward number, assigned by the entry daemon
+ * @param code the error code
+ * @param ran whether the request ran
+ * @param step the step that failed
  * @param peer the peer involved
- * @param message the reason in words
- * @param retryAfterMillis when to come back, or -1 if that can't help
+ * @param message the error message
+ * @param retryAfterMillis the delay before a retry, or -1 if a retry can't help
  */
 public record ForwardFailed(long forward, ErrorCode code, Ran ran, Step step, String peer, String message,
 		long retryAfterMillis) implements PeerMessage {
 
-	private static final int NEVER = -1;
+	private static final int NO_RETRY_AFTER = -1;
 
 	static ForwardFailed of(long forward, ServingException failure) {
 		return new ForwardFailed(forward, failure.code(), failure.ran(), failure.step(), failure.peer(),
-				failure.getMessage(), failure.retryAfter().map(Duration::toMillis).orElse((long) NEVER));
+				failure.getMessage(), failure.retryAfter().map(Duration::toMillis).orElse((long) NO_RETRY_AFTER));
 	}
 
 	/**
-	 * The failure as the entry reports it.
-	 * @param home the daemon that sent this, named in place of its {@code self}
+	 * Converts this message to the failure that the entry daemon reports.
+	 * @param home the name of the home daemon, which replaces the peer {@code self}
 	 * @return the failure
 	 */
 	ServingException failure(String home) {
-		String where = ("self".equals(this.peer)) ? home : this.peer;
-		Duration retryAfter = (this.retryAfterMillis != NEVER) ? Duration.ofMillis(this.retryAfterMillis) : null;
-		return new ServingException(this.code, this.ran, this.step, where, this.message, retryAfter);
+		String resolvedPeer = ("self".equals(this.peer)) ? home : this.peer;
+		Duration retryAfter = (this.retryAfterMillis != NO_RETRY_AFTER) ? Duration.ofMillis(this.retryAfterMillis)
+				: null;
+		return new ServingException(this.code, this.ran, this.step, resolvedPeer, this.message, retryAfter);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardReply.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardReply.java
@@ -5,13 +5,14 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * A plain service's reply on its way to the entry.
+ * The start of a plain service's reply, sent to the entry daemon.
  *
- * @param forward the number that the entry gave this forward
+ * @param forward the forward number, assigned by the entry daemon
  * @param status the HTTP status
  * @param headers the headers
- * @param bodyBytes how long the body is
- * @param firstPart the beginning of the body; the rest follows in parts
+ * @param bodyBytes the length of the body
+ * @param firstPart the first part of the body; {@link ForwardReplyPart} messages carry
+ * the rest
  */
 public record ForwardReply(long forward, int status, Map<String, String> headers, int bodyBytes,
 		byte[] firstPart) implements PeerMessage {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardReplyCredit.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardReplyCredit.java
@@ -3,10 +3,10 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Tells the home how many parts of a reply the entry has taken.
+ * Notifies the home daemon how many parts of a reply the entry daemon has received.
  *
- * @param forward the number that the entry gave this forward
- * @param parts parts taken, the first one included
+ * @param forward the forward number, assigned by the entry daemon
+ * @param parts the number of parts received, including the first
  */
 public record ForwardReplyCredit(long forward, int parts) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardResume.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardResume.java
@@ -3,12 +3,12 @@
 import org.bramleyscale.internal.peer.PeerMessage;
 
 /**
- * Asks the home of a request for its answer from an offset on.
+ * Asks the home daemon of a request for its answer, starting at an offset.
  *
- * @param forward the number that the entry gave this forward
+ * @param forward the forward number, assigned by the entry daemon
  * @param id the request
- * @param account who asks
- * @param offset the first token wanted
+ * @param account the requesting client account
+ * @param offset the offset of the first requested token
  */
 public record ForwardResume(long forward, String id, String account, long offset) implements PeerMessage {
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardWork.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardedRequest.java
@@ -14,29 +14,29 @@
 import org.bramleyscale.internal.time.Cancellable;
 
 /**
- * What an entry forwards to the home of a request. Immutable and safe for use by multiple
- * threads.
+ * A request that an entry daemon forwards to the home daemon. Immutable and safe for use
+ * by multiple threads.
  */
-sealed interface ForwardWork {
+sealed interface ForwardedRequest {
 
 	RequestId id();
 
 	ClientAccountId account();
 
 	/**
-	 * How long it may take.
-	 * @return the time, or empty if only the home knows
+	 * Returns the time left until the deadline.
+	 * @return the time, or empty if only the home daemon knows the deadline
 	 */
 	Optional<Duration> timeLeft();
 
 	/**
-	 * Whether it can be started elsewhere once its home is lost.
-	 * @return true if it may be repeated and all of it is known here
+	 * Whether this daemon can start the request itself once the home daemon is lost.
+	 * @return true if the request is repeatable and completely known here
 	 */
 	boolean adoptable();
 
 	/**
-	 * The first token that the caller wants.
+	 * Returns the offset of the first token that the caller requests.
 	 * @return the offset
 	 */
 	long offset();
@@ -44,30 +44,31 @@
 	byte[] body();
 
 	/**
-	 * The message that begins a forward.
-	 * @param forward its number
-	 * @param timeLeft how long it may still take
-	 * @param parts sends the body
+	 * Creates the first message of a forward.
+	 * @param forward the forward number
+	 * @param timeLeft the time left until the deadline
+	 * @param parts sends the body in parts
 	 * @return the message
 	 */
 	PeerMessage message(long forward, Duration timeLeft, PartSender parts);
 
 	/**
-	 * Starts it at this daemon because its home is lost; it must be adoptable.
-	 * @param here this daemon's requests
-	 * @param left how long it may still take
-	 * @param delivered the answer that the caller already has, or null
-	 * @param reader takes the rest
-	 * @return takes the reader away
+	 * Starts the request at this daemon because its home daemon is lost. The request must
+	 * be {@linkplain #adoptable() adoptable}.
+	 * @param localRequests this daemon's requests
+	 * @param remainingTime the time left until the deadline
+	 * @param delivered the part of the answer already delivered to the caller, or null
+	 * @param reader receives the rest of the answer
+	 * @return a handle that detaches the reader
 	 */
-	Cancellable adopt(HomeRequests here, Duration left, AnswerLog delivered, RecordReader reader);
+	Cancellable adopt(HomeRequests localRequests, Duration remainingTime, AnswerLog delivered, RecordReader reader);
 
 	/**
-	 * A generation.
+	 * A generation request.
 	 *
 	 * @param request the caller's request, with an id
 	 */
-	record Generation(GenerateRequest request) implements ForwardWork {
+	record Generation(GenerateRequest request) implements ForwardedRequest {
 
 		@Override
 		public RequestId id() {
@@ -107,21 +108,22 @@
 		}
 
 		@Override
-		public Cancellable adopt(HomeRequests here, Duration left, AnswerLog delivered, RecordReader reader) {
-			GenerateRequest rest = new GenerateRequest(this.request.id(), this.request.account(),
+		public Cancellable adopt(HomeRequests localRequests, Duration remainingTime, AnswerLog delivered,
+				RecordReader reader) {
+			GenerateRequest adopted = new GenerateRequest(this.request.id(), this.request.account(),
 					this.request.service(), this.request.model(), this.request.prompt(), this.request.maxTokens(),
-					this.request.repeatable(), left);
-			return here.adopt(rest, delivered, reader);
+					this.request.repeatable(), remainingTime);
+			return localRequests.adopt(adopted, delivered, reader);
 		}
 
 	}
 
 	/**
-	 * A call of a plain service.
+	 * A plain service call.
 	 *
 	 * @param request the caller's request, with an id
 	 */
-	record Call(PlainRequest request) implements ForwardWork {
+	record Call(PlainRequest request) implements ForwardedRequest {
 
 		@Override
 		public RequestId id() {
@@ -161,23 +163,24 @@
 		}
 
 		@Override
-		public Cancellable adopt(HomeRequests here, Duration left, AnswerLog delivered, RecordReader reader) {
-			PlainRequest rest = new PlainRequest(this.request.id(), this.request.account(), this.request.service(),
+		public Cancellable adopt(HomeRequests localRequests, Duration remainingTime, AnswerLog delivered,
+				RecordReader reader) {
+			PlainRequest adopted = new PlainRequest(this.request.id(), this.request.account(), this.request.service(),
 					this.request.method(), this.request.path(), this.request.headers(), this.request.body(),
-					this.request.repeatable(), left);
-			return here.adopt(rest, reader);
+					this.request.repeatable(), remainingTime);
+			return localRequests.adopt(adopted, reader);
 		}
 
 	}
 
 	/**
-	 * An answer to be read on.
+	 * A request to resume reading an answer.
 	 *
 	 * @param id the request
-	 * @param account who asks
-	 * @param offset the first token wanted
+	 * @param account the requesting client account
+	 * @param offset the offset of the first requested token
 	 */
-	record Resume(RequestId id, ClientAccountId account, long offset) implements ForwardWork {
+	record Resume(RequestId id, ClientAccountId account, long offset) implements ForwardedRequest {
 
 		private static final byte[] NO_BODY = {};
 
@@ -202,8 +205,9 @@
 		}
 
 		@Override
-		public Cancellable adopt(HomeRequests here, Duration left, AnswerLog delivered, RecordReader reader) {
-			throw new IllegalStateException("the prompt of request '" + this.id + "' is not known here");
+		public Cancellable adopt(HomeRequests localRequests, Duration remainingTime, AnswerLog delivered,
+				RecordReader reader) {
+			throw new IllegalStateException("request '" + this.id + "' can't be started here: its prompt is unknown");
 		}
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/HomeLocator.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/HomeLocator.java
@@ -5,7 +5,8 @@
 import org.bramleyscale.internal.membership.MembershipView;
 
 /**
- * Where the home of a request is, as far as membership tells.
+ * Determines from the membership view whether the home daemon of a request is this daemon
+ * or is lost.
  *
  * <p>
  * Confined to the scheduler's thread.
@@ -23,19 +24,20 @@
 	}
 
 	/**
-	 * Whether a daemon is gone for good.
+	 * Whether an incarnation of a daemon is lost permanently.
 	 * @param home the incarnation
-	 * @return true if it is unknown, dead, or its VM runs a later start; false also if
-	 * the view is older than the incarnation, which then answers for itself
+	 * @return true if the VM is unknown, the incarnation is dead, or the VM runs a later
+	 * incarnation; false also if the view is older than the incarnation, which can still
+	 * answer itself
 	 */
-	public boolean gone(Incarnation home) {
+	public boolean lost(Incarnation home) {
 		if (home.vm().equals(this.membership.self().vm())) {
 			return !self(home);
 		}
-		return this.membership.member(home.vm()).map((member) -> gone(member, home)).orElse(true);
+		return this.membership.member(home.vm()).map((member) -> lost(member, home)).orElse(true);
 	}
 
-	private static boolean gone(Member member, Incarnation home) {
+	private static boolean lost(Member member, Incarnation home) {
 		long start = member.incarnation().start();
 		if (start != home.start()) {
 			return start > home.start();
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/HomeRequests.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/HomeRequests.java
@@ -9,11 +9,11 @@
 import org.bramleyscale.internal.time.Cancellable;
 
 /**
- * The requests whose home is this daemon, as callers reach them directly or through
- * another daemon.
+ * The requests whose home is this daemon, used by callers connected directly and by
+ * forwards from other daemons.
  *
  * <p>
- * Confined to the scheduler's thread. Each returned handle takes the reader away.
+ * Confined to the scheduler's thread. Each returned handle detaches the reader.
  */
 public interface HomeRequests {
 
@@ -22,30 +22,30 @@
 	Cancellable call(PlainRequest request, RecordReader reader);
 
 	/**
-	 * Reads a request's record.
+	 * Attaches a reader to the record of a request.
 	 * @param id the request
-	 * @param account who asks; must be the account that made the request
-	 * @param reader takes the answer
-	 * @return takes the reader away
+	 * @param account the requesting client account; must be the one that made the request
+	 * @param reader receives the answer
+	 * @return a handle that detaches the reader
 	 */
 	Cancellable attach(RequestId id, ClientAccountId account, RecordReader reader);
 
 	void cancel(RequestId id, ClientAccountId account);
 
 	/**
-	 * Starts a repeatable generation whose home, named by its id, is lost.
-	 * @param request the request, with the id under which it was known
-	 * @param delivered the answer that its caller already has
-	 * @param reader takes the answer from there on
-	 * @return takes the reader away
+	 * Starts a repeatable generation whose home daemon, identified by its id, is lost.
+	 * @param request the request, with its original id
+	 * @param delivered the part of the answer already delivered to the caller
+	 * @param reader receives the rest of the answer
+	 * @return a handle that detaches the reader
 	 */
 	Cancellable adopt(GenerateRequest request, AnswerLog delivered, RecordReader reader);
 
 	/**
-	 * Starts a repeatable call whose home, named by its id, is lost.
-	 * @param request the request, with the id under which it was known
-	 * @param reader takes the reply
-	 * @return takes the reader away
+	 * Starts a repeatable call whose home daemon, identified by its id, is lost.
+	 * @param request the request, with its original id
+	 * @param reader receives the reply
+	 * @return a handle that detaches the reader
 	 */
 	Cancellable adopt(PlainRequest request, RecordReader reader);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/InboundForward.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/InboundForward.java
@@ -14,25 +14,26 @@
 import org.bramleyscale.internal.time.Cancellable;
 
 /**
- * An entry that reads a request's record at its home.
+ * Sends a request's record from its home daemon to an entry daemon.
  *
  * <p>
- * The entry's credit bounds what is under way to it. Without that a caller that reads a
- * long answer from its beginning would fill the connection's queue with it, and
- * heartbeats and other answers behind it would be late or refused. Invariant: pieces are
- * sent in order, then the end. Confined to the scheduler's thread.
+ * Credit-based flow control bounds the data in flight to the entry daemon. Without it, a
+ * caller that reads a long answer from its beginning would fill the connection's send
+ * queue, and heartbeats and other answers queued behind it would be delayed or refused.
+ * Invariant: pieces are sent in order, followed by the final message. Confined to the
+ * scheduler's thread.
  */
 final class InboundForward implements RecordReader {
 
-	private static final int MOST_CHARS_UNDER_WAY = 64 * 1024;
+	private static final int MAX_CHARS_IN_FLIGHT = 64 * 1024;
 
-	private static final int PIECE_CHARS = 8 * 1024;
+	private static final int MAX_PIECE_CHARS = 8 * 1024;
 
-	private static final Duration SEND_PAUSE = Duration.ofMillis(200);
+	private static final Duration SEND_RETRY_DELAY = Duration.ofMillis(200);
 
-	private static final int MOST_FAILED_SENDS = 50;
+	private static final int MAX_FAILED_SENDS = 50;
 
-	private static final Cancellable NOTHING = () -> {
+	private static final Cancellable NO_OP = () -> {
 	};
 
 	private final InboundForwards forwards;
@@ -43,7 +44,7 @@
 
 	private final long offset;
 
-	private Cancellable handle = NOTHING;
+	private Cancellable handle = NO_OP;
 
 	private AnswerLog log;
 
@@ -53,13 +54,13 @@
 
 	private long creditedChars;
 
-	private PeerMessage end;
+	private PeerMessage finalMessage;
 
 	private PartSender replyParts;
 
 	private int failedSends;
 
-	private boolean waitingToSend;
+	private boolean sendScheduled;
 
 	private boolean closed;
 
@@ -79,8 +80,8 @@
 	}
 
 	/**
-	 * Keeps what takes this reader away from the record.
-	 * @param attached takes it away
+	 * Sets the handle that detaches this reader from the record.
+	 * @param attached the handle
 	 */
 	void attached(Cancellable attached) {
 		this.handle = attached;
@@ -101,7 +102,7 @@
 
 	void replyCredit(int parts) {
 		if (this.replyParts != null) {
-			this.replyParts.taken(parts);
+			this.replyParts.acknowledged(parts);
 			pump();
 		}
 	}
@@ -125,7 +126,7 @@
 
 	@Override
 	public void completed(AnswerLog answer, EngineUsage usage) {
-		this.end = new ForwardDone(this.number, answer.next(), usage.promptTokens(), usage.cachedTokens(),
+		this.finalMessage = new ForwardDone(this.number, answer.next(), usage.promptTokens(), usage.cachedTokens(),
 				usage.answerTokens(), usage.finishReason());
 		pump();
 	}
@@ -133,42 +134,42 @@
 	@Override
 	public void replied(ServiceReply reply) {
 		this.replyParts = new PartSender(reply.body());
-		this.end = new ForwardReply(this.number, reply.status(), reply.headers(), this.replyParts.length(),
+		this.finalMessage = new ForwardReply(this.number, reply.status(), reply.headers(), this.replyParts.length(),
 				this.replyParts.first());
 		pump();
 	}
 
 	@Override
 	public void failed(ServingException failure) {
-		this.end = ForwardFailed.of(this.number, failure);
+		this.finalMessage = ForwardFailed.of(this.number, failure);
 		pump();
 	}
 
 	private void pump() {
-		if (this.closed || this.waitingToSend) {
+		if (this.closed || this.sendScheduled) {
 			return;
 		}
 		if (!pumpTokens()) {
-			sendLater();
+			scheduleSend();
 			return;
 		}
-		if (this.end != null && drained()) {
-			if (!send(this.end)) {
-				sendLater();
+		if (this.finalMessage != null && allTokensSent()) {
+			if (!send(this.finalMessage)) {
+				scheduleSend();
 				return;
 			}
-			this.end = null;
+			this.finalMessage = null;
 			closeUnlessReplying();
 		}
-		if (this.end == null && this.replyParts != null) {
+		if (this.finalMessage == null && this.replyParts != null) {
 			pumpReply();
 		}
 	}
 
 	private boolean pumpTokens() {
-		while (!drained() && this.sentChars - this.creditedChars < MOST_CHARS_UNDER_WAY) {
+		while (!allTokensSent() && this.sentChars - this.creditedChars < MAX_CHARS_IN_FLIGHT) {
 			int to = this.index + 1;
-			while (to < this.log.pieces() && this.log.textLength(this.index, to + 1) <= PIECE_CHARS) {
+			while (to < this.log.pieces() && this.log.textLength(this.index, to + 1) <= MAX_PIECE_CHARS) {
 				to++;
 			}
 			AnswerPiece piece = this.log.range(this.index, to);
@@ -185,7 +186,7 @@
 		boolean sent = this.replyParts
 			.pump((part) -> send(new ForwardReplyPart(this.number, part.index(), part.bytes())));
 		if (!sent) {
-			sendLater();
+			scheduleSend();
 			return;
 		}
 		closeUnlessReplying();
@@ -197,20 +198,20 @@
 		}
 	}
 
-	private boolean drained() {
+	private boolean allTokensSent() {
 		return this.log == null || this.index >= this.log.pieces();
 	}
 
-	private void sendLater() {
+	private void scheduleSend() {
 		this.failedSends++;
-		if (this.failedSends > MOST_FAILED_SENDS) {
-			// The entry asks again under another number once it can be reached.
+		if (this.failedSends > MAX_FAILED_SENDS) {
+			// The entry daemon retries under a new number once it is reachable.
 			detach();
 			return;
 		}
-		this.waitingToSend = true;
-		this.forwards.scheduler().schedule(SEND_PAUSE, () -> {
-			this.waitingToSend = false;
+		this.sendScheduled = true;
+		this.forwards.scheduler().schedule(SEND_RETRY_DELAY, () -> {
+			this.sendScheduled = false;
 			pump();
 		});
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/InboundForwards.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/InboundForwards.java
@@ -28,12 +28,13 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * The forwards that other daemons have sent here because this daemon issued their ids.
+ * Registry of the forwards received from other daemons because this daemon issued the
+ * request ids.
  *
  * <p>
- * Invariant: a request is forwarded once at most; one whose id names another incarnation
- * is answered {@link ErrorCode#HOME_GONE} and never passed on. Confined to the
- * scheduler's thread.
+ * Invariant: a request is forwarded over at most one hop; one whose id was issued by
+ * another incarnation is answered with {@link ErrorCode#HOME_GONE} and never forwarded
+ * again. Confined to the scheduler's thread.
  */
 public final class InboundForwards {
 
@@ -49,15 +50,15 @@
 
 	private final Map<Key, InboundForward> forwards = new HashMap<>();
 
-	private final Map<Key, Arriving> arriving = new HashMap<>();
+	private final Map<Key, PendingRequest> pendingRequests = new HashMap<>();
 
 	/**
-	 * Creates the registry and listens to the network.
+	 * Creates the registry and subscribes to the peer messages.
 	 * @param scheduler the scheduler
-	 * @param network messages from and to entries
-	 * @param membership tells which entries are gone
+	 * @param network carries messages from and to entry daemons
+	 * @param membership tells which entry daemons are lost
 	 * @param home this daemon's requests
-	 * @param settings bounds on what is taken
+	 * @param settings the maximum body size
 	 */
 	public InboundForwards(Scheduler scheduler, PeerNetwork network, MembershipView membership, HomeRequests home,
 			RequestSettings settings) {
@@ -71,7 +72,7 @@
 	}
 
 	public int size() {
-		return this.forwards.size() + this.arriving.size();
+		return this.forwards.size() + this.pendingRequests.size();
 	}
 
 	Scheduler scheduler() {
@@ -107,7 +108,7 @@
 						new ServiceName(message.service()), new ModelName(message.model()),
 						new String(body, StandardCharsets.UTF_8), message.maxTokens(), message.repeatable(), left),
 				reader);
-		arrive(new Key(from, message.forward()), message.id(), message.timeLeftMillis(), message.promptBytes(),
+		receive(new Key(from, message.forward()), message.id(), message.timeLeftMillis(), message.promptBytes(),
 				message.firstPart(), start);
 	}
 
@@ -118,53 +119,53 @@
 								new ClientAccountId(message.account()), new ServiceName(message.service()),
 								message.method(), message.path(), message.headers(), body, message.repeatable(), left),
 						reader);
-		arrive(new Key(from, message.forward()), message.id(), message.timeLeftMillis(), message.bodyBytes(),
+		receive(new Key(from, message.forward()), message.id(), message.timeLeftMillis(), message.bodyBytes(),
 				message.firstPart(), start);
 	}
 
 	private void resume(Incarnation from, ForwardResume message) {
 		Key key = new Key(from, message.forward());
 		RequestId id = RequestId.parse(message.id());
-		if (issuedHere(key, id)) {
+		if (checkIssuer(key, id)) {
 			begin(key, message.offset(),
 					(reader) -> this.home.attach(id, new ClientAccountId(message.account()), reader));
 		}
 	}
 
-	private void arrive(Key key, String id, long timeLeftMillis, int length, byte[] firstPart,
+	private void receive(Key key, String id, long timeLeftMillis, int length, byte[] firstPart,
 			BiFunction<byte[], Duration, Start> start) {
-		if (!issuedHere(key, RequestId.parse(id))) {
+		if (!checkIssuer(key, RequestId.parse(id))) {
 			return;
 		}
 		if (length > this.settings.maxBodyBytes()) {
 			refuse(key, new ServingException(ErrorCode.TOO_LARGE, Ran.NO, Step.FORWARD, "self",
-					"the body has " + length + " bytes; at most " + this.settings.maxBodyBytes() + " are taken"));
+					"the body has " + length + " bytes; the limit is " + this.settings.maxBodyBytes() + " bytes"));
 			return;
 		}
 		long deadline = this.scheduler.nanos() + Duration.ofMillis(timeLeftMillis).toNanos();
-		this.arriving.put(key, new Arriving(new PartReceiver(length), deadline, start));
-		this.scheduler.schedule(Duration.ofMillis(timeLeftMillis), () -> this.arriving.remove(key));
+		this.pendingRequests.put(key, new PendingRequest(new PartReceiver(length), deadline, start));
+		this.scheduler.schedule(Duration.ofMillis(timeLeftMillis), () -> this.pendingRequests.remove(key));
 		part(key, 0, firstPart);
 	}
 
 	private void part(Key key, int index, byte[] part) {
-		Arriving body = this.arriving.get(key);
-		if (body == null) {
+		PendingRequest pending = this.pendingRequests.get(key);
+		if (pending == null) {
 			return;
 		}
-		if (!body.receiver.take(index, part)) {
-			// A part was lost with its connection. The entry hears nothing more under
-			// this number and sends the whole body again under another.
-			this.arriving.remove(key);
+		if (!pending.receiver.accept(index, part)) {
+			// A part was lost with its connection. The entry daemon gets no further
+			// messages under this number and resends the whole body under a new one.
+			this.pendingRequests.remove(key);
 			return;
 		}
-		if (!body.receiver.complete()) {
-			send(key.entry, new ForwardBodyCredit(key.number, body.receiver.parts()));
+		if (!pending.receiver.complete()) {
+			send(key.entry, new ForwardBodyCredit(key.number, pending.receiver.parts()));
 			return;
 		}
-		this.arriving.remove(key);
-		Duration left = Duration.ofNanos(body.deadline - this.scheduler.nanos());
-		begin(key, 0, body.start.apply(body.receiver.whole(), left));
+		this.pendingRequests.remove(key);
+		Duration left = Duration.ofNanos(pending.deadline - this.scheduler.nanos());
+		begin(key, 0, pending.start.apply(pending.receiver.content(), left));
 	}
 
 	private void begin(Key key, long offset, Start start) {
@@ -173,12 +174,12 @@
 		forward.attached(start.with(forward));
 	}
 
-	private boolean issuedHere(Key key, RequestId id) {
+	private boolean checkIssuer(Key key, RequestId id) {
 		if (this.locator.self(id.issuer())) {
 			return true;
 		}
 		refuse(key, new ServingException(ErrorCode.HOME_GONE, Ran.UNKNOWN, Step.FORWARD, "self",
-				"request id '" + id + "' was not issued by this start of the daemon"));
+				"request id '" + id + "' was not issued by this incarnation of the daemon"));
 		return false;
 	}
 
@@ -187,7 +188,7 @@
 	}
 
 	private void detach(Incarnation from, ForwardDetach message) {
-		this.arriving.remove(new Key(from, message.forward()));
+		this.pendingRequests.remove(new Key(from, message.forward()));
 		find(from, message.forward()).ifPresent(InboundForward::detach);
 	}
 
@@ -198,13 +199,13 @@
 	private void checkEntries() {
 		List.copyOf(this.forwards.values())
 			.stream()
-			.filter((forward) -> this.locator.gone(forward.entry()))
+			.filter((forward) -> this.locator.lost(forward.entry()))
 			.forEach(InboundForward::detach);
-		this.arriving.keySet().removeIf((key) -> this.locator.gone(key.entry));
+		this.pendingRequests.keySet().removeIf((key) -> this.locator.lost(key.entry));
 	}
 
 	/**
-	 * Begins to read a request's record.
+	 * Starts a request or attaches to it, and begins to read its record.
 	 */
 	@FunctionalInterface
 	private interface Start {
@@ -214,22 +215,22 @@
 	}
 
 	/**
-	 * One forward of one entry.
+	 * Identifies one forward of one entry daemon.
 	 *
-	 * @param entry the entry
-	 * @param number the number that the entry gave it
+	 * @param entry the entry daemon
+	 * @param number the forward number, assigned by the entry daemon
 	 */
 	private record Key(Incarnation entry, long number) {
 	}
 
 	/**
-	 * A request whose body has not all arrived.
+	 * A request whose body has not been received completely.
 	 *
-	 * @param receiver puts the body together
-	 * @param deadline when its time is up
-	 * @param start starts it
+	 * @param receiver reassembles the body
+	 * @param deadline the deadline on the clock of the scheduler, in nanoseconds
+	 * @param start starts the request with its body and the time left
 	 */
-	private record Arriving(PartReceiver receiver, long deadline, BiFunction<byte[], Duration, Start> start) {
+	private record PendingRequest(PartReceiver receiver, long deadline, BiFunction<byte[], Duration, Start> start) {
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/OutboundForward.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/OutboundForward.java
@@ -15,38 +15,38 @@
 import org.bramleyscale.internal.time.Cancellable;
 
 /**
- * One caller's request on its way to its home, seen from the entry that the caller
- * reached.
+ * One caller's request that this entry daemon forwards to the home daemon.
  *
  * <p>
- * Messages may be lost with a connection, in either direction, and neither side is told.
- * One would see a caller wait until its deadline for an answer that its home has long
- * finished. So whenever the home is silent for too long, the entry asks again under a new
- * number: from the missing offset if the home had acknowledged, with the whole request if
- * not. Asking again is safe because the home starts an id once and lets later messages
- * attach to it.
+ * Messages may be lost with a connection, in either direction, without notification of
+ * either side. The caller could then wait until its deadline for an answer that the home
+ * daemon has already completed. Therefore, when the home daemon is silent for too long,
+ * the entry daemon retries under a new number: it resumes at the missing offset if the
+ * home daemon had acknowledged the request, and resends the whole request if not.
+ * Retrying is safe because the home daemon starts each id once and attaches later
+ * messages to it.
  *
  * <p>
- * Invariants: the caller hears of exactly one end; messages under an old number are
- * ignored; without an answer of the home nothing is said to not have run, since the home
- * may have run the request already, through this entry or another. Confined to the
- * scheduler's thread.
+ * Invariants: the caller is notified of exactly one end, unless it detaches; messages
+ * under an old number are ignored; without an answer from the home daemon a failure never
+ * claims that the request did not run, since the home daemon may have run it already,
+ * through this entry daemon or another. Confined to the scheduler's thread.
  */
 final class OutboundForward {
 
-	private static final int MOST_UNANSWERED = 3;
+	private static final int MAX_UNANSWERED = 3;
 
-	private static final Duration RETRY_PAUSE = Duration.ofSeconds(2);
+	private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
 
 	private final OutboundForwards forwards;
 
-	private final ForwardWork work;
+	private final ForwardedRequest request;
 
-	private final CallerSide caller;
+	private final ForwardCaller caller;
 
-	private final AnswerLog seen;
+	private final AnswerLog delivered;
 
-	private final ResettableTimer patience;
+	private final ResettableTimer silenceTimer;
 
 	private final ForwardDeadline deadline;
 
@@ -58,13 +58,13 @@
 
 	private ForwardReply reply;
 
-	private long next;
+	private long nextOffset;
 
 	private long characters;
 
 	private boolean acknowledged;
 
-	private boolean announced;
+	private boolean admissionReported;
 
 	private int unanswered;
 
@@ -72,18 +72,19 @@
 
 	private Cancellable adopted;
 
-	OutboundForward(OutboundForwards forwards, ForwardWork work, CallerSide caller) {
+	OutboundForward(OutboundForwards forwards, ForwardedRequest request, ForwardCaller caller) {
 		this.forwards = forwards;
-		this.work = work;
+		this.request = request;
 		this.caller = caller;
-		this.next = work.offset();
-		this.seen = (work instanceof ForwardWork.Generation && work.adoptable()) ? new AnswerLog() : null;
-		this.patience = new ResettableTimer(forwards.scheduler(), this::onSilence);
-		this.deadline = new ForwardDeadline(forwards.scheduler(), work.timeLeft().orElse(null), this::onDeadline);
+		this.nextOffset = request.offset();
+		this.delivered = (request instanceof ForwardedRequest.Generation && request.adoptable()) ? new AnswerLog()
+				: null;
+		this.silenceTimer = new ResettableTimer(forwards.scheduler(), this::onSilenceTimeout);
+		this.deadline = new ForwardDeadline(forwards.scheduler(), request.timeLeft().orElse(null), this::onDeadline);
 	}
 
 	RequestId id() {
-		return this.work.id();
+		return this.request.id();
 	}
 
 	long number() {
@@ -94,13 +95,13 @@
 	 * Sends the request for the first time.
 	 */
 	void begin() {
-		if (!sendWhole()) {
+		if (!sendRequest()) {
 			homeLost();
 		}
 	}
 
 	/**
-	 * The caller has gone.
+	 * Handles the disconnection of the caller.
 	 */
 	void detach() {
 		if (this.adopted != null) {
@@ -113,7 +114,7 @@
 	}
 
 	/**
-	 * The home is gone, or doesn't answer.
+	 * Handles the loss of the home daemon, or its failure to answer.
 	 */
 	void homeLost() {
 		if (this.ended) {
@@ -121,23 +122,23 @@
 		}
 		close();
 		this.forwards.metrics().homeLost();
-		if (this.work.adoptable()) {
-			this.adopted = this.work.adopt(this.forwards.home(), this.deadline.left(), this.seen,
-					this.caller.reader(this.next, this.announced));
+		if (this.request.adoptable()) {
+			this.adopted = this.request.adopt(this.forwards.home(), this.deadline.timeLeft(), this.delivered,
+					this.caller.reader(this.nextOffset, this.admissionReported));
 			return;
 		}
 		String home = home();
-		Ran ran = (this.next > 0) ? Ran.YES : Ran.UNKNOWN;
-		boolean mayReturn = this.forwards.mayReturn(id());
+		Ran ran = (this.nextOffset > 0) ? Ran.YES : Ran.UNKNOWN;
+		boolean mayRecover = this.forwards.mayRecover(id());
 		String message = "daemon '" + home + "', which issued request id '" + id() + "', "
-				+ ((mayReturn) ? "does not answer" : "is gone");
+				+ ((mayRecover) ? "does not answer" : "is no longer running");
 		this.caller.failed(new ServingException(ErrorCode.HOME_GONE, ran, Step.FORWARD, home, message,
-				(mayReturn) ? RETRY_PAUSE : null));
+				(mayRecover) ? RETRY_AFTER : null));
 	}
 
-	void bodyTaken(int taken) {
+	void bodyAcknowledged(int acknowledgedParts) {
 		if (this.parts != null) {
-			this.parts.taken(taken);
+			this.parts.acknowledged(acknowledgedParts);
 			pumpBody();
 			waitForAcknowledgement();
 		}
@@ -147,19 +148,19 @@
 		this.acknowledged = true;
 		this.unanswered = 0;
 		this.parts = null;
-		announce(admittedId);
+		reportAdmission(admittedId);
 		waitForAnswer();
 	}
 
 	void tokens(ForwardTokens piece) {
-		if (piece.offset() > this.next) {
-			askAgain();
+		if (piece.offset() > this.nextOffset) {
+			retry();
 			return;
 		}
-		if (piece.offset() == this.next && piece.tokens() > 0) {
-			this.next += piece.tokens();
-			if (this.seen != null) {
-				this.seen.offer(piece.offset(), piece.tokens(), piece.text());
+		if (piece.offset() == this.nextOffset && piece.tokens() > 0) {
+			this.nextOffset += piece.tokens();
+			if (this.delivered != null) {
+				this.delivered.offer(piece.offset(), piece.tokens(), piece.text());
 			}
 			this.caller.tokens(piece.offset(), piece.tokens(), piece.text());
 		}
@@ -171,8 +172,8 @@
 	}
 
 	void done(ForwardDone done) {
-		if (done.tokens() > this.next) {
-			askAgain();
+		if (done.tokens() > this.nextOffset) {
+			retry();
 			return;
 		}
 		close();
@@ -180,15 +181,15 @@
 				new EngineUsage(done.promptTokens(), done.cachedTokens(), done.answerTokens(), done.finishReason()));
 	}
 
-	void replied(ForwardReply beginning) {
-		this.reply = beginning;
-		this.replyParts = new PartReceiver(beginning.bodyBytes());
-		replyPart(0, beginning.firstPart());
+	void replied(ForwardReply firstMessage) {
+		this.reply = firstMessage;
+		this.replyParts = new PartReceiver(firstMessage.bodyBytes());
+		replyPart(0, firstMessage.firstPart());
 	}
 
 	void replyPart(int index, byte[] part) {
-		if (this.replyParts == null || !this.replyParts.take(index, part)) {
-			askAgain();
+		if (this.replyParts == null || !this.replyParts.accept(index, part)) {
+			retry();
 			return;
 		}
 		if (!this.replyParts.complete()) {
@@ -197,7 +198,7 @@
 			return;
 		}
 		close();
-		this.caller.replied(new ServiceReply(this.reply.status(), this.reply.headers(), this.replyParts.whole()));
+		this.caller.replied(new ServiceReply(this.reply.status(), this.reply.headers(), this.replyParts.content()));
 	}
 
 	void failed(ForwardFailed failure) {
@@ -209,20 +210,20 @@
 		this.caller.failed(failure.failure(home()));
 	}
 
-	private void announce(RequestId admittedId) {
-		if (!this.announced) {
-			this.announced = true;
+	private void reportAdmission(RequestId admittedId) {
+		if (!this.admissionReported) {
+			this.admissionReported = true;
 			this.caller.admitted(admittedId);
 		}
 	}
 
-	private void onSilence() {
+	private void onSilenceTimeout() {
 		this.unanswered++;
-		if (this.unanswered > MOST_UNANSWERED) {
+		if (this.unanswered > MAX_UNANSWERED) {
 			homeLost();
 			return;
 		}
-		askAgain();
+		retry();
 	}
 
 	private void onDeadline() {
@@ -231,29 +232,29 @@
 		}
 		send(new ForwardDetach(this.number));
 		close();
-		Ran ran = (this.next > 0) ? Ran.YES : Ran.UNKNOWN;
+		Ran ran = (this.nextOffset > 0) ? Ran.YES : Ran.UNKNOWN;
 		this.caller.failed(new ServingException(ErrorCode.DEADLINE_EXCEEDED, ran, Step.FORWARD, home(),
-				"the request's time ran out while its home '" + home() + "' had not answered"));
+				"the deadline passed before home daemon '" + home() + "' had completed the request"));
 	}
 
-	private void askAgain() {
+	private void retry() {
 		send(new ForwardDetach(this.number));
 		this.replyParts = null;
 		this.characters = 0;
 		if (!this.acknowledged) {
-			sendWhole();
+			sendRequest();
 			return;
 		}
 		this.number = this.forwards.renumber(this);
-		send(new ForwardResume(this.number, id().toString(), this.work.account().value(), this.next));
+		send(new ForwardResume(this.number, id().toString(), this.request.account().value(), this.nextOffset));
 		waitForAcknowledgement();
 	}
 
-	private boolean sendWhole() {
+	private boolean sendRequest() {
 		this.number = this.forwards.renumber(this);
-		this.parts = new PartSender(this.work.body());
+		this.parts = new PartSender(this.request.body());
 		waitForAcknowledgement();
-		if (!send(this.work.message(this.number, this.deadline.leftAtHome(), this.parts))) {
+		if (!send(this.request.message(this.number, this.deadline.timeLeftAtHome(), this.parts))) {
 			return false;
 		}
 		pumpBody();
@@ -265,12 +266,12 @@
 	}
 
 	private void waitForAcknowledgement() {
-		this.patience.start(this.forwards.settings().forwardAcknowledgement());
+		this.silenceTimer.start(this.forwards.settings().forwardAcknowledgement());
 	}
 
 	private void waitForAnswer() {
 		this.unanswered = 0;
-		this.patience.start(this.forwards.settings().streamSilence());
+		this.silenceTimer.start(this.forwards.settings().streamSilence());
 	}
 
 	private boolean send(PeerMessage message) {
@@ -283,7 +284,7 @@
 
 	private void close() {
 		this.ended = true;
-		this.patience.close();
+		this.silenceTimer.close();
 		this.deadline.close();
 		this.forwards.closed(this);
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/OutboundForwards.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/OutboundForwards.java
@@ -21,10 +21,10 @@
 import org.bramleyscale.internal.time.Scheduler;
 
 /**
- * The requests that callers brought here and whose home is another daemon.
+ * Registry of the requests received from callers here whose home is another daemon.
  *
  * <p>
- * Invariant: a number names one forward and is never used again. Confined to the
+ * Invariant: a number identifies one forward and is never reused. Confined to the
  * scheduler's thread.
  */
 public final class OutboundForwards {
@@ -43,15 +43,15 @@
 
 	private final Map<Long, OutboundForward> forwards = new LinkedHashMap<>();
 
-	private long numbers;
+	private long lastNumber;
 
 	/**
-	 * Creates the registry and listens to the network.
+	 * Creates the registry and subscribes to the peer messages.
 	 * @param scheduler the scheduler
-	 * @param network messages to homes
-	 * @param membership tells which homes are gone
+	 * @param network carries messages from and to home daemons
+	 * @param membership tells which home daemons are lost
 	 * @param home this daemon's own requests
-	 * @param settings how long to wait
+	 * @param settings the timeouts
 	 * @param metrics counts forwards
 	 */
 	public OutboundForwards(Scheduler scheduler, PeerNetwork network, MembershipView membership, HomeRequests home,
@@ -67,15 +67,15 @@
 	}
 
 	public Cancellable generate(GenerateRequest request, AnswerSink sink) {
-		return begin(new ForwardWork.Generation(request), new AnswerCaller(sink));
+		return begin(new ForwardedRequest.Generation(request), new AnswerCaller(sink));
 	}
 
 	public Cancellable call(PlainRequest request, PlainSink sink) {
-		return begin(new ForwardWork.Call(request), new PlainCaller(sink));
+		return begin(new ForwardedRequest.Call(request), new PlainCaller(sink));
 	}
 
 	public Cancellable resume(RequestId id, ClientAccountId account, long offset, AnswerSink sink) {
-		return begin(new ForwardWork.Resume(id, account, offset), new AnswerCaller(sink));
+		return begin(new ForwardedRequest.Resume(id, account, offset), new AnswerCaller(sink));
 	}
 
 	public void cancel(RequestId id, ClientAccountId account) {
@@ -102,8 +102,8 @@
 		return this.metrics;
 	}
 
-	boolean mayReturn(RequestId id) {
-		return !this.locator.gone(id.issuer());
+	boolean mayRecover(RequestId id) {
+		return !this.locator.lost(id.issuer());
 	}
 
 	boolean send(Incarnation to, PeerMessage message) {
@@ -111,24 +111,24 @@
 	}
 
 	/**
-	 * Gives a forward a new number, so that messages under its old one are ignored.
+	 * Assigns a new number to a forward, so that messages under its old one are ignored.
 	 * @param forward the forward
 	 * @return the new number
 	 */
 	long renumber(OutboundForward forward) {
 		this.forwards.remove(forward.number());
-		this.numbers++;
-		this.forwards.put(this.numbers, forward);
-		return this.numbers;
+		this.lastNumber++;
+		this.forwards.put(this.lastNumber, forward);
+		return this.lastNumber;
 	}
 
 	void closed(OutboundForward forward) {
 		this.forwards.remove(forward.number());
 	}
 
-	private Cancellable begin(ForwardWork work, CallerSide caller) {
-		OutboundForward forward = new OutboundForward(this, work, caller);
-		if (this.locator.gone(work.id().issuer())) {
+	private Cancellable begin(ForwardedRequest forwarded, ForwardCaller caller) {
+		OutboundForward forward = new OutboundForward(this, forwarded, caller);
+		if (this.locator.lost(forwarded.id().issuer())) {
 			forward.homeLost();
 		}
 		else {
@@ -140,30 +140,30 @@
 
 	private void checkHomes() {
 		for (OutboundForward forward : List.copyOf(this.forwards.values())) {
-			if (this.locator.gone(forward.id().issuer())) {
+			if (this.locator.lost(forward.id().issuer())) {
 				forward.homeLost();
 			}
 		}
 	}
 
 	private void listen() {
-		this.network.listen(ForwardBodyCredit.class,
-				(from, message) -> tell(from, message.forward(), (forward) -> forward.bodyTaken(message.parts())));
-		this.network.listen(ForwardAccepted.class, (from, message) -> tell(from, message.forward(),
+		this.network.listen(ForwardBodyCredit.class, (from, message) -> dispatch(from, message.forward(),
+				(forward) -> forward.bodyAcknowledged(message.parts())));
+		this.network.listen(ForwardAccepted.class, (from, message) -> dispatch(from, message.forward(),
 				(forward) -> forward.accepted(RequestId.parse(message.id()))));
 		this.network.listen(ForwardTokens.class,
-				(from, message) -> tell(from, message.forward(), (forward) -> forward.tokens(message)));
+				(from, message) -> dispatch(from, message.forward(), (forward) -> forward.tokens(message)));
 		this.network.listen(ForwardDone.class,
-				(from, message) -> tell(from, message.forward(), (forward) -> forward.done(message)));
+				(from, message) -> dispatch(from, message.forward(), (forward) -> forward.done(message)));
 		this.network.listen(ForwardReply.class,
-				(from, message) -> tell(from, message.forward(), (forward) -> forward.replied(message)));
-		this.network.listen(ForwardReplyPart.class, (from, message) -> tell(from, message.forward(),
+				(from, message) -> dispatch(from, message.forward(), (forward) -> forward.replied(message)));
+		this.network.listen(ForwardReplyPart.class, (from, message) -> dispatch(from, message.forward(),
 				(forward) -> forward.replyPart(message.index(), message.part())));
 		this.network.listen(ForwardFailed.class,
-				(from, message) -> tell(from, message.forward(), (forward) -> forward.failed(message)));
+				(from, message) -> dispatch(from, message.forward(), (forward) -> forward.failed(message)));
 	}
 
-	private void tell(Incarnation from, long number, Consumer<OutboundForward> event) {
+	private void dispatch(Incarnation from, long number, Consumer<OutboundForward> event) {
 		OutboundForward forward = this.forwards.get(number);
 		if (forward != null && forward.id().issuer().vm().equals(from.vm())) {
 			event.accept(forward);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/PartReceiver.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/PartReceiver.java
@@ -3,11 +3,11 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Puts together what a {@link PartSender} sends.
+ * Reassembles content sent by a {@link PartSender}.
  *
  * <p>
- * Invariant: parts are taken in order, each once. Memory grows with what arrives and not
- * with what was announced. Not safe for use by multiple threads.
+ * Invariant: parts are accepted in order, each once. Memory grows with the bytes received
+ * and not with the declared length. Not safe for use by multiple threads.
  */
 final class PartReceiver {
 
@@ -22,12 +22,12 @@
 	}
 
 	/**
-	 * Takes the next part.
-	 * @param index its number, from 0
-	 * @param part its content
-	 * @return false if it isn't the next, or is more than was announced
+	 * Accepts the next part.
+	 * @param index the index of the part, from 0
+	 * @param part the content of the part
+	 * @return false if it is not the next part or exceeds the declared length
 	 */
-	boolean take(int index, byte[] part) {
+	boolean accept(int index, byte[] part) {
 		if (index != this.parts || this.bytes.size() + part.length > this.length) {
 			return false;
 		}
@@ -44,7 +44,7 @@
 		return this.bytes.size() == this.length;
 	}
 
-	byte[] whole() {
+	byte[] content() {
 		return this.bytes.toByteArray();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/PartSender.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/PartSender.java
@@ -4,31 +4,31 @@
 import java.util.function.Predicate;
 
 /**
- * Sends something long in parts, with a bounded number of them under way.
+ * Sends long content in parts, with a bounded number of parts in flight.
  *
  * <p>
- * A prompt of megabytes in one frame would pass the peer network's bound, and all its
- * parts at once would hold up the heartbeats and short requests of the same connection.
+ * A prompt of several megabytes would exceed the peer network's frame limit, and sending
+ * all its parts at once would delay heartbeats and short requests on the same connection.
  * Not safe for use by multiple threads.
  */
 final class PartSender {
 
 	static final int PART_BYTES = 32 * 1024;
 
-	static final int MOST_UNDER_WAY = 8;
+	static final int MAX_IN_FLIGHT = 8;
 
-	private final byte[] whole;
+	private final byte[] content;
 
 	private int sent = 1;
 
-	private int taken;
+	private int acknowledged;
 
-	PartSender(byte[] whole) {
-		this.whole = whole;
+	PartSender(byte[] content) {
+		this.content = content;
 	}
 
 	int length() {
-		return this.whole.length;
+		return this.content.length;
 	}
 
 	byte[] first() {
@@ -36,24 +36,24 @@
 	}
 
 	boolean allSent() {
-		return (long) this.sent * PART_BYTES >= this.whole.length;
+		return (long) this.sent * PART_BYTES >= this.content.length;
 	}
 
 	/**
-	 * Notes what the receiver has taken.
-	 * @param parts parts taken, the first one included
+	 * Records how many parts the receiver has acknowledged.
+	 * @param parts the number of parts acknowledged, including the first
 	 */
-	void taken(int parts) {
-		this.taken = Math.max(this.taken, Math.min(parts, this.sent));
+	void acknowledged(int parts) {
+		this.acknowledged = Math.max(this.acknowledged, Math.min(parts, this.sent));
 	}
 
 	/**
-	 * Sends as many further parts as may be under way.
-	 * @param send sends the part of an index; false if it couldn't
-	 * @return false if a part couldn't be sent
+	 * Sends further parts until the limit of parts in flight is reached.
+	 * @param send sends a part and returns false if that failed
+	 * @return false if sending a part failed
 	 */
 	boolean pump(Predicate<Part> send) {
-		while (!allSent() && this.sent - this.taken < MOST_UNDER_WAY) {
+		while (!allSent() && this.sent - this.acknowledged < MAX_IN_FLIGHT) {
 			if (!send.test(new Part(this.sent, part(this.sent)))) {
 				return false;
 			}
@@ -64,15 +64,15 @@
 
 	private byte[] part(int index) {
 		int from = index * PART_BYTES;
-		int to = Math.min(this.whole.length, from + PART_BYTES);
-		return Arrays.copyOfRange(this.whole, from, to);
+		int to = Math.min(this.content.length, from + PART_BYTES);
+		return Arrays.copyOfRange(this.content, from, to);
 	}
 
 	/**
-	 * One part.
+	 * One part of the content.
 	 *
-	 * @param index its number, from 0
-	 * @param bytes its content
+	 * @param index the index of the part, from 0
+	 * @param bytes the content of the part
 	 */
 	record Part(int index, byte[] bytes) {
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/PlainCaller.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/PlainCaller.java
@@ -9,11 +9,11 @@
 import org.bramleyscale.internal.request.answer.RecordReader;
 
 /**
- * A caller that takes a plain service's reply.
+ * A forward caller that receives a plain service's reply.
  *
- * @param sink takes the reply
+ * @param sink receives the reply
  */
-public record PlainCaller(PlainSink sink) implements CallerSide {
+public record PlainCaller(PlainSink sink) implements ForwardCaller {
 
 	@Override
 	public void admitted(RequestId id) {
@@ -22,12 +22,12 @@
 
 	@Override
 	public void tokens(long offset, int tokens, String text) {
-		throw new IllegalStateException("a call of a plain service got a generated answer");
+		throw new IllegalStateException("a plain service call received a generated answer");
 	}
 
 	@Override
 	public void completed(EngineUsage usage) {
-		throw new IllegalStateException("a call of a plain service got a generated answer");
+		throw new IllegalStateException("a plain service call received a generated answer");
 	}
 
 	@Override
@@ -41,8 +41,8 @@
 	}
 
 	@Override
-	public RecordReader reader(long offset, boolean announced) {
-		return new PlainReader(this.sink, announced);
+	public RecordReader reader(long offset, boolean admissionReported) {
+		return new PlainReader(this.sink, admissionReported);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/RequestMessages.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/RequestMessages.java
@@ -3,7 +3,7 @@
 import org.bramleyscale.internal.peer.MessageCatalog;
 
 /**
- * The codes of the request slice's messages, 50 to 69.
+ * Registers the peer messages of the request package, whose codes are 50 to 69.
  */
 public final class RequestMessages {
 
@@ -11,7 +11,7 @@
 	}
 
 	/**
-	 * Enters the messages into a catalog.
+	 * Adds the messages to a catalog.
 	 * @param catalog the catalog
 	 */
 	public static void register(MessageCatalog.Builder catalog) {
