--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/AnswerLog.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/AnswerLog.java
@@ -141,7 +141,7 @@
 		if (!pieceText.startsWith(existing)) {
 			// The piece repeats tokens with different text or splits one. Appending its
 			// remainder would leave duplicate or missing characters in the answer;
-			// resuming at the next offset can't.
+			// resuming at the next offset avoids that.
 			return OfferResult.GAP;
 		}
 		append(end, pieceText.substring(existingLength));
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The answer of a request as its record keeps it, and those who read it.
+ * The answer stored in a request record, and the readers that deliver it.
  */
 package org.bramleyscale.internal.request.answer;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/package-info.java
@@ -1,4 +1,4 @@
 /**
- * One try of a request at an endpoint: reading, resuming, cancelling, retrying.
+ * Attempts of a request at an endpoint: reading, resuming, cancelling and retrying.
  */
 package org.bramleyscale.internal.request.attempt;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/InboundForwards.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/InboundForwards.java
@@ -42,7 +42,7 @@
 
 	private final PeerNetwork network;
 
-	private final HomeLocator locator;
+	private final IncarnationLiveness liveness;
 
 	private final HomeRequests home;
 
@@ -56,7 +56,7 @@
 	 * Creates the registry and subscribes to the peer messages.
 	 * @param scheduler the scheduler
 	 * @param network carries messages from and to entry daemons
-	 * @param membership tells which entry daemons are lost
+	 * @param membership used to detect lost entry daemons
 	 * @param home this daemon's requests
 	 * @param settings the maximum body size
 	 */
@@ -64,7 +64,7 @@
 			RequestSettings settings) {
 		this.scheduler = scheduler;
 		this.network = network;
-		this.locator = new HomeLocator(membership);
+		this.liveness = new IncarnationLiveness(membership);
 		this.home = home;
 		this.settings = settings;
 		membership.onChange(this::checkEntries);
@@ -175,7 +175,7 @@
 	}
 
 	private boolean checkIssuer(Key key, RequestId id) {
-		if (this.locator.self(id.issuer())) {
+		if (this.liveness.self(id.issuer())) {
 			return true;
 		}
 		refuse(key, new ServingException(ErrorCode.HOME_GONE, Ran.UNKNOWN, Step.FORWARD, "self",
@@ -199,9 +199,9 @@
 	private void checkEntries() {
 		List.copyOf(this.forwards.values())
 			.stream()
-			.filter((forward) -> this.locator.lost(forward.entry()))
+			.filter((forward) -> this.liveness.lost(forward.entry()))
 			.forEach(InboundForward::detach);
-		this.pendingRequests.keySet().removeIf((key) -> this.locator.lost(key.entry));
+		this.pendingRequests.keySet().removeIf((key) -> this.liveness.lost(key.entry));
 	}
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/OutboundForwards.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/OutboundForwards.java
@@ -33,7 +33,7 @@
 
 	private final PeerNetwork network;
 
-	private final HomeLocator locator;
+	private final IncarnationLiveness liveness;
 
 	private final HomeRequests home;
 
@@ -49,7 +49,7 @@
 	 * Creates the registry and subscribes to the peer messages.
 	 * @param scheduler the scheduler
 	 * @param network carries messages from and to home daemons
-	 * @param membership tells which home daemons are lost
+	 * @param membership used to detect lost home daemons
 	 * @param home this daemon's own requests
 	 * @param settings the timeouts
 	 * @param metrics counts forwards
@@ -58,7 +58,7 @@
 			RequestSettings settings, RequestMetrics metrics) {
 		this.scheduler = scheduler;
 		this.network = network;
-		this.locator = new HomeLocator(membership);
+		this.liveness = new IncarnationLiveness(membership);
 		this.home = home;
 		this.settings = settings;
 		this.metrics = metrics;
@@ -103,7 +103,7 @@
 	}
 
 	boolean mayRecover(RequestId id) {
-		return !this.locator.lost(id.issuer());
+		return !this.liveness.lost(id.issuer());
 	}
 
 	boolean send(Incarnation to, PeerMessage message) {
@@ -128,7 +128,7 @@
 
 	private Cancellable begin(ForwardedRequest forwarded, ForwardCaller caller) {
 		OutboundForward forward = new OutboundForward(this, forwarded, caller);
-		if (this.locator.lost(forwarded.id().issuer())) {
+		if (this.liveness.lost(forwarded.id().issuer())) {
 			forward.homeLost();
 		}
 		else {
@@ -140,7 +140,7 @@
 
 	private void checkHomes() {
 		for (OutboundForward forward : List.copyOf(this.forwards.values())) {
-			if (this.locator.lost(forward.id().issuer())) {
+			if (this.liveness.lost(forward.id().issuer())) {
 				forward.homeLost();
 			}
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Requests on their way between the daemon that a caller reached and their home.
+ * Forwards requests from the entry daemon, to which the caller is connected, to the home
+ * daemon, which issued the request id.
  */
 package org.bramleyscale.internal.request.forward;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/life/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/life/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The state machine of one request's life.
+ * The lifecycle state machine of a request.
  */
 package org.bramleyscale.internal.request.life;
