--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRun.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRun.java
@@ -87,7 +87,7 @@
 			this.streaming = true;
 			this.firstTokenAt = now;
 			this.overdue.close();
-			this.assignment.firstToken();
+			this.assignment.firstTokenReceived();
 		}
 		this.lastTokenAt = now;
 		long offset = this.record.life().offset();
