--- a/bramleyscale/src/main/java/org/bramleyscale/internal/address/AddressBook.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/address/AddressResolver.java
@@ -8,7 +8,7 @@
  * <p>
  * Confined to the scheduler's thread.
  */
-public interface AddressBook {
+public interface AddressResolver {
 
 	AddressAnswer addresses(ClientAccountId account);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/address/LeavePlan.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/address/LeavePlan.java
@@ -29,7 +29,7 @@
 
 	private final LeaveActions actions;
 
-	private final AddressBook addresses;
+	private final AddressResolver addresses;
 
 	private final LeaveTimes times;
 
@@ -41,7 +41,7 @@
 
 	private boolean idle;
 
-	public LeavePlan(Scheduler scheduler, LeaveActions actions, AddressBook addresses, LeaveTimes times) {
+	public LeavePlan(Scheduler scheduler, LeaveActions actions, AddressResolver addresses, LeaveTimes times) {
 		this.scheduler = scheduler;
 		this.actions = actions;
 		this.addresses = addresses;
@@ -58,7 +58,7 @@
 		this.phase = Phase.ANNOUNCED;
 		this.startedAt = this.scheduler.nanos();
 		this.actions.announce();
-		this.scheduler.schedule(this.times.keepFor().plus(this.times.spread()), this::refuse);
+		this.scheduler.schedule(this.times.keepFor().plus(this.times.propagation()), this::refuse);
 	}
 
 	public Phase phase() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/address/LeaveTimes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/address/LeaveTimes.java
@@ -9,12 +9,12 @@
  * Immutable and safe for use by multiple threads.
  *
  * @param keepFor how long callers cache address answers
- * @param spread the maximum time for the leaving mark to reach all daemons
+ * @param propagation the maximum time for the leaving mark to reach all daemons
  * @param linger how long the daemon keeps running after the last request has ended, so
  * that a caller that lost the end of its answer can still fetch it
  * @param limit the time after which the daemon shuts down even with requests unfinished
  */
-public record LeaveTimes(Duration keepFor, Duration spread, Duration linger, Duration limit) {
+public record LeaveTimes(Duration keepFor, Duration propagation, Duration linger, Duration limit) {
 
 	private static final Duration DEFAULT_SPREAD = Duration.ofSeconds(3);
 
@@ -23,9 +23,9 @@
 	private static final Duration DEFAULT_LIMIT = Duration.ofMinutes(30);
 
 	public LeaveTimes {
-		if (limit.compareTo(keepFor.plus(spread).plus(linger)) <= 0) {
+		if (limit.compareTo(keepFor.plus(propagation).plus(linger)) <= 0) {
 			throw new IllegalArgumentException(
-					"limit of a planned stop must exceed the " + keepFor.plus(spread).plus(linger)
+					"limit of a planned stop must exceed the " + keepFor.plus(propagation).plus(linger)
 							+ " of address caching, propagation and linger time, was " + limit);
 		}
 	}
@@ -35,7 +35,7 @@
 	 * @param keepFor how long callers cache address answers
 	 * @return the durations
 	 */
-	public static LeaveTimes forKeptAddresses(Duration keepFor) {
+	public static LeaveTimes forCacheTime(Duration keepFor) {
 		return new LeaveTimes(keepFor, DEFAULT_SPREAD, DEFAULT_LINGER, DEFAULT_LIMIT);
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/address/RendezvousAddressBook.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/address/RendezvousAddressResolver.java
@@ -27,7 +27,7 @@
  * at least two data centres if two have alive entries. Confined to the scheduler's
  * thread.
  */
-public final class RendezvousAddressBook implements AddressBook {
+public final class RendezvousAddressResolver implements AddressResolver {
 
 	/** How long callers may cache an answer by default. */
 	public static final Duration DEFAULT_KEEP_FOR = Duration.ofSeconds(10);
@@ -47,7 +47,7 @@
 
 	private final Map<ClientAccountId, AddressAnswer> cache = new HashMap<>();
 
-	public RendezvousAddressBook(MembershipView membership, ConfigurationSource configuration, Duration keepFor) {
+	public RendezvousAddressResolver(MembershipView membership, ConfigurationSource configuration, Duration keepFor) {
 		this.membership = membership;
 		this.configuration = configuration;
 		this.keepFor = keepFor;
@@ -73,7 +73,7 @@
 		List<Member> ranked = rank(account);
 		List<Member> selected = new ArrayList<>(ranked.subList(0, Math.min(entryCount(account), ranked.size())));
 		ensureSecondDataCentre(selected, ranked);
-		return new AddressAnswer(selected.stream().map(RendezvousAddressBook::entry).toList(), this.keepFor);
+		return new AddressAnswer(selected.stream().map(RendezvousAddressResolver::entry).toList(), this.keepFor);
 	}
 
 	private int entryCount(ClientAccountId account) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/admission/LimitShareExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/admission/LimitShareExchange.java
@@ -11,7 +11,7 @@
 import org.bramleyscale.Incarnation;
 import org.bramleyscale.VmId;
 import org.bramleyscale.internal.address.AddressAnswer;
-import org.bramleyscale.internal.address.AddressBook;
+import org.bramleyscale.internal.address.AddressResolver;
 import org.bramleyscale.internal.configuration.AccountRule;
 import org.bramleyscale.internal.configuration.ConfigurationSource;
 import org.bramleyscale.internal.membership.MembershipView;
@@ -48,7 +48,7 @@
 
 	private final MembershipView membership;
 
-	private final AddressBook addresses;
+	private final AddressResolver addresses;
 
 	private final ConfigurationSource configuration;
 
@@ -62,7 +62,7 @@
 	/** As home daemon: the demand reported by each daemon, by account. */
 	private final Map<ClientAccountId, Map<VmId, ReportedDemand>> reported = new HashMap<>();
 
-	public LimitShareExchange(Scheduler scheduler, MembershipView membership, AddressBook addresses,
+	public LimitShareExchange(Scheduler scheduler, MembershipView membership, AddressResolver addresses,
 			ConfigurationSource configuration, PeerNetwork network, FairAdmission admission) {
 		this.scheduler = scheduler;
 		this.membership = membership;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/configuration/document/MappingReader.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/configuration/document/MappingReader.java
@@ -70,7 +70,7 @@
 			.stream()
 			.filter((key) -> !keys.contains(key))
 			.forEach((key) -> add(line(this.fields.get(key)), key, shown(key, this.fields.get(key)),
-					"a known key" + NameSuggestion.phrase(key, keys)));
+					"a known key" + NameSuggestion.suggestion(key, keys)));
 		return this;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/ShardLeases.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/ShardLeases.java
@@ -156,7 +156,7 @@
 	private void seek(String lease, Shard shard) {
 		Shard previous = this.sought.put(lease, shard);
 		if (previous == null) {
-			this.leases.seek(lease, new ShardListener(lease));
+			this.leases.acquire(lease, new ShardListener(lease));
 		}
 		else if (!previous.equals(shard) && this.owned.containsKey(lease)) {
 			// The shard's endpoints changed: former owners of endpoints that are new here
@@ -240,7 +240,7 @@
 		}
 
 		@Override
-		public void taken(Lease taken) {
+		public void acquired(Lease taken) {
 			ShardLeases.this.taken(this.lease, taken.number());
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/NettyLoop.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/http/NettyLoop.java
@@ -13,7 +13,7 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.util.concurrent.DefaultThreadFactory;
-import org.bramleyscale.internal.peer.PeerLoops;
+import org.bramleyscale.internal.peer.PeerEventLoops;
 import org.bramleyscale.internal.time.ExecutorScheduler;
 
 /**
@@ -53,8 +53,8 @@
 	 * Returns this loop for use by connections with peers.
 	 * @return event loops that end with this one
 	 */
-	public PeerLoops forPeers() {
-		return new PeerLoops(this.group, channel(), serverChannel(), true);
+	public PeerEventLoops forPeers() {
+		return new PeerEventLoops(this.group, channel(), serverChannel(), true);
 	}
 
 	boolean epoll() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/http/AddressHandler.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/http/AddressHandler.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.ObjectWriter;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import org.bramleyscale.internal.address.AddressAnswer;
-import org.bramleyscale.internal.address.AddressBook;
+import org.bramleyscale.internal.address.AddressResolver;
 import org.bramleyscale.internal.configuration.AccountRule;
 import ratpack.handling.Context;
 import ratpack.handling.Handler;
@@ -24,9 +24,9 @@
 
 	private final EntryGate gate;
 
-	private final AddressBook addresses;
+	private final AddressResolver addresses;
 
-	AddressHandler(EntryGate gate, AddressBook addresses) {
+	AddressHandler(EntryGate gate, AddressResolver addresses) {
 		this.gate = gate;
 		this.addresses = addresses;
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/http/EntryServer.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/http/EntryServer.java
@@ -7,7 +7,7 @@
 import org.bramleyscale.Ran;
 import org.bramleyscale.ServingException;
 import org.bramleyscale.Step;
-import org.bramleyscale.internal.address.AddressBook;
+import org.bramleyscale.internal.address.AddressResolver;
 import org.bramleyscale.internal.configuration.ConfigurationSource;
 import org.bramleyscale.internal.request.RequestService;
 import org.bramleyscale.internal.status.StateDump;
@@ -170,7 +170,7 @@
 
 		private ConfigurationSource configuration;
 
-		private AddressBook addresses;
+		private AddressResolver addresses;
 
 		private RequestService requests;
 
@@ -204,7 +204,7 @@
 			return this;
 		}
 
-		public Builder addresses(AddressBook newAddresses) {
+		public Builder addresses(AddressResolver newAddresses) {
 			this.addresses = newAddresses;
 			return this;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseAcquirer.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseAcquirer.java
@@ -114,7 +114,7 @@
 		this.object.read().whenComplete((found, failure) -> {
 			loseIfExpired();
 			if (failure != null) {
-				scheduleStep(this.context.settings().retryEvery());
+				scheduleStep(this.context.settings().retryInterval());
 			}
 			else if (!this.stopped) {
 				handleRead(found);
@@ -153,7 +153,7 @@
 			confirm(this.held, version, sentAt.get());
 		}
 		else {
-			scheduleStep(this.context.settings().retryEvery());
+			scheduleStep(this.context.settings().retryInterval());
 		}
 	}
 
@@ -208,7 +208,7 @@
 			read();
 		}
 		else {
-			scheduleStep(this.context.settings().retryEvery());
+			scheduleStep(this.context.settings().retryInterval());
 		}
 	}
 
@@ -225,7 +225,7 @@
 	private void beginTenure(long number, long version, long sentAt) {
 		long remaining = this.context.remainingNanos(sentAt);
 		if (remaining <= 0) {
-			scheduleStep(this.context.settings().retryEvery());
+			scheduleStep(this.context.settings().retryInterval());
 			return;
 		}
 		long validUntil = this.context.scheduler().nanos() + remaining;
@@ -237,7 +237,7 @@
 		logger.infof("Acquired lease %s", lease);
 		scheduleExpiry(lease);
 		scheduleRenewal(sentAt);
-		this.listener.taken(lease);
+		this.listener.acquired(lease);
 	}
 
 	private void scheduleExpiry(HeldLease lease) {
@@ -248,7 +248,7 @@
 
 	private void scheduleRenewal(long sentAt) {
 		long sinceSent = this.context.scheduler().nanos() - sentAt;
-		scheduleStep(this.context.settings().renewEvery().minusNanos(sinceSent));
+		scheduleStep(this.context.settings().renewInterval().minusNanos(sinceSent));
 	}
 
 	private void loseIfExpired() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseContext.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseContext.java
@@ -31,7 +31,7 @@
 	 */
 	Duration readDelay() {
 		double factor = MIN_JITTER_FACTOR + JITTER_RANGE * this.random.nextDouble();
-		return Duration.ofNanos((long) (this.settings.renewEvery().toNanos() * factor));
+		return Duration.ofNanos((long) (this.settings.renewInterval().toNanos() * factor));
 	}
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseManager.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseManager.java
@@ -44,7 +44,7 @@
 	}
 
 	@Override
-	public void seek(String name, LeaseListener listener) {
+	public void acquire(String name, LeaseListener listener) {
 		if (this.acquirers.containsKey(name)) {
 			throw new IllegalArgumentException("lease '" + name + "' is already being acquired");
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseObject.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseObject.java
@@ -101,7 +101,7 @@
 					&& platform.kind() == PlatformException.Kind.CONFLICT;
 			if (failure != null && !conflict && attempts > 1) {
 				this.context.scheduler()
-					.schedule(this.context.settings().retryEvery(), () -> release(number, version, attempts - 1));
+					.schedule(this.context.settings().retryInterval(), () -> release(number, version, attempts - 1));
 			}
 		});
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/LeaseSettings.java
@@ -14,11 +14,11 @@
  * @param duration the duration of a lease after a renewal
  * @param margin the safety margin, subtracted from the duration by the holder and added
  * to it by a daemon that takes the lease over
- * @param renewEvery the interval between renewals, and the mean interval between reads of
- * a lease that another daemon holds
- * @param retryEvery the delay after a failed call
+ * @param renewInterval the interval between renewals, and the mean interval between reads
+ * of a lease that another daemon holds
+ * @param retryInterval the delay after a failed call
  */
-public record LeaseSettings(Duration duration, Duration margin, Duration renewEvery, Duration retryEvery) {
+public record LeaseSettings(Duration duration, Duration margin, Duration renewInterval, Duration retryInterval) {
 
 	/** A duration of 10 seconds, with three renewal intervals per duration. */
 	public static final LeaseSettings DEFAULT = of(Duration.ofSeconds(10));
@@ -32,10 +32,10 @@
 	public LeaseSettings {
 		requirePositive("lease duration", duration);
 		requirePositive("lease margin", margin);
-		requirePositive("lease renewal interval", renewEvery);
-		requirePositive("lease retry interval", retryEvery);
-		if (renewEvery.compareTo(duration.minus(margin)) >= 0) {
-			throw new IllegalArgumentException("lease renewal interval " + renewEvery + " must be below duration "
+		requirePositive("lease renewal interval", renewInterval);
+		requirePositive("lease retry interval", retryInterval);
+		if (renewInterval.compareTo(duration.minus(margin)) >= 0) {
+			throw new IllegalArgumentException("lease renewal interval " + renewInterval + " must be below duration "
 					+ duration + " less margin " + margin);
 		}
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/lease/Leases.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/lease/Leases.java
@@ -16,7 +16,7 @@
 	 * @param name the job's name
 	 * @param listener notified when the lease is acquired or lost
 	 */
-	void seek(String name, LeaseListener listener);
+	void acquire(String name, LeaseListener listener);
 
 	/**
 	 * Stops trying to acquire a lease, and releases it if held.
@@ -31,7 +31,7 @@
 	 */
 	interface LeaseListener {
 
-		void taken(Lease lease);
+		void acquired(Lease lease);
 
 		/**
 		 * Called when the lease expired, was superseded or was released; no action that
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/node/Node.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/node/Node.java
@@ -196,8 +196,8 @@
 			.identity(this.identity)
 			.listen(socketAddress(this.settings.peerAddress()))
 			.key(this.settings.peerKey().getBytes(StandardCharsets.UTF_8))
-			.largestFrame(this.settings.value(SettingKey.MAX_FRAME_BYTES))
-			.mostQueuedBytes(this.settings.value(SettingKey.MAX_QUEUED_BYTES))
+			.maxFrameBytes(this.settings.value(SettingKey.MAX_FRAME_BYTES))
+			.maxQueuedBytes(this.settings.value(SettingKey.MAX_QUEUED_BYTES))
 			.build();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/node/NodeSlices.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/node/NodeSlices.java
@@ -8,11 +8,11 @@
 import org.bramleyscale.Incarnation;
 import org.bramleyscale.SettingKey;
 import org.bramleyscale.Settings;
-import org.bramleyscale.internal.address.AddressBook;
+import org.bramleyscale.internal.address.AddressResolver;
 import org.bramleyscale.internal.address.LeaveActions;
 import org.bramleyscale.internal.address.LeavePlan;
 import org.bramleyscale.internal.address.LeaveTimes;
-import org.bramleyscale.internal.address.RendezvousAddressBook;
+import org.bramleyscale.internal.address.RendezvousAddressResolver;
 import org.bramleyscale.internal.admission.FairAdmission;
 import org.bramleyscale.internal.admission.LimitShareExchange;
 import org.bramleyscale.internal.admission.RatioTokenEstimator;
@@ -76,7 +76,7 @@
 
 	private final Steward steward;
 
-	private final AddressBook addresses;
+	private final AddressResolver addresses;
 
 	private final FairAdmission admission;
 
@@ -108,7 +108,7 @@
 		this.reservations = new GroupReservations(this.scheduler, this.pool, this.network, ports.engines(), self(),
 				ports.metrics());
 		this.steward = newSteward();
-		this.addresses = new RendezvousAddressBook(this.membership, this.configuration, settings.addressKeepFor());
+		this.addresses = new RendezvousAddressResolver(this.membership, this.configuration, settings.addressKeepFor());
 		this.admission = FairAdmission.builder(this.scheduler, this.configuration, ports.metrics())
 			.maxWaiting(settings.value(SettingKey.MAX_REQUESTS))
 			.build();
@@ -156,7 +156,7 @@
 		return this.pool;
 	}
 
-	public AddressBook addresses() {
+	public AddressResolver addresses() {
 		return this.addresses;
 	}
 
@@ -314,8 +314,8 @@
 	}
 
 	private LeaveTimes leaveTimes() {
-		LeaveTimes usual = LeaveTimes.forKeptAddresses(this.settings.addressKeepFor());
-		return new LeaveTimes(usual.keepFor(), usual.spread(), usual.linger(),
+		LeaveTimes usual = LeaveTimes.forCacheTime(this.settings.addressKeepFor());
+		return new LeaveTimes(usual.keepFor(), usual.propagation(), usual.linger(),
 				this.settings.value(SettingKey.DRAIN_LIMIT));
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/ChannelPeerLink.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/ChannelPeerLink.java
@@ -10,7 +10,7 @@
  *
  * <p>
  * Invariant: the bytes queued for a peer that doesn't read never exceed
- * {@link TcpPeerSettings#mostQueuedBytes()}; further frames are refused, so that one
+ * {@link TcpPeerSettings#maxQueuedBytes()}; further frames are refused, so that one
  * blocked peer can't exhaust the heap. Safe for use by multiple threads.
  */
 final class ChannelPeerLink implements PeerLink {
@@ -53,10 +53,10 @@
 	@Override
 	public boolean send(byte[] payload) {
 		int frameBytes = payload.length + PeerChannel.LENGTH_BYTES;
-		if (!this.channel.isActive() || payload.length > this.network.settings().largestFrame()) {
+		if (!this.channel.isActive() || payload.length > this.network.settings().maxFrameBytes()) {
 			return false;
 		}
-		if (this.queuedBytes.addAndGet(frameBytes) > this.network.settings().mostQueuedBytes()) {
+		if (this.queuedBytes.addAndGet(frameBytes) > this.network.settings().maxQueuedBytes()) {
 			this.queuedBytes.addAndGet(-frameBytes);
 			return false;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/InMemoryPeerHub.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/InMemoryPeerHub.java
@@ -77,7 +77,7 @@
 	 * @param left one VM
 	 * @param right the other VM
 	 */
-	public void cut(VmId left, VmId right) {
+	public void disconnect(VmId left, VmId right) {
 		this.cutDirections.add(new Direction(left, right));
 		this.cutDirections.add(new Direction(right, left));
 	}
@@ -92,7 +92,8 @@
 	}
 
 	/**
-	 * Reverts {@link #cut} and {@link #silence} between two VMs, in both directions.
+	 * Reverts {@link #disconnect} and {@link #silence} between two VMs, in both
+	 * directions.
 	 * @param left one VM
 	 * @param right the other VM
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerChannel.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerChannel.java
@@ -126,7 +126,7 @@
 		this.link = new ChannelPeerLink(context.channel(), this.handshake, this.network);
 		this.network.endHandshake();
 		this.network.opened(this.link);
-		context.pipeline().replace(DECODER, DECODER, decoder(this.network.settings().largestFrame()));
+		context.pipeline().replace(DECODER, DECODER, decoder(this.network.settings().maxFrameBytes()));
 	}
 
 	/**
@@ -138,7 +138,7 @@
 	 * @param payloadBytes the size of its payload
 	 */
 	private void deliver(ChannelHandlerContext context, PeerMessage message, int payloadBytes) {
-		long bound = this.network.settings().mostQueuedBytes();
+		long bound = this.network.settings().maxQueuedBytes();
 		if (this.undeliveredBytes.addAndGet(payloadBytes) > bound) {
 			context.channel().config().setAutoRead(false);
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerLoops.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerEventLoops.java
@@ -23,16 +23,16 @@
  * @param shared whether the loops have other users, so that the network must not shut
  * them down
  */
-public record PeerLoops(EventLoopGroup group, Class<? extends Channel> channelType,
+public record PeerEventLoops(EventLoopGroup group, Class<? extends Channel> channelType,
 		Class<? extends ServerChannel> serverChannelType, boolean shared) {
 
 	/**
 	 * Creates a dedicated thread for peers.
 	 * @return new event loops, which the network shuts down
 	 */
-	public static PeerLoops dedicated() {
-		return new PeerLoops(new NioEventLoopGroup(1, new DefaultThreadFactory("peer", true)), NioSocketChannel.class,
-				NioServerSocketChannel.class, false);
+	public static PeerEventLoops dedicated() {
+		return new PeerEventLoops(new NioEventLoopGroup(1, new DefaultThreadFactory("peer", true)),
+				NioSocketChannel.class, NioServerSocketChannel.class, false);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TcpPeerNetwork.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TcpPeerNetwork.java
@@ -77,7 +77,7 @@
 
 	private final SecureRandom nonceGenerator = new SecureRandom();
 
-	private final PeerLoops eventLoops;
+	private final PeerEventLoops eventLoops;
 
 	private final AtomicInteger handshakes = new AtomicInteger();
 
@@ -98,7 +98,7 @@
 	 */
 	public TcpPeerNetwork(TcpPeerSettings settings, Scheduler scheduler, MessageCodec codec, RandomGenerator random,
 			MetricRegistry metrics) {
-		this(settings, PeerLoops.dedicated(), scheduler, codec, random, metrics);
+		this(settings, PeerEventLoops.dedicated(), scheduler, codec, random, metrics);
 	}
 
 	/**
@@ -110,7 +110,7 @@
 	 * @param random the source of jitter between dials
 	 * @param metrics the registry for counts of connections and frames
 	 */
-	public TcpPeerNetwork(TcpPeerSettings settings, PeerLoops eventLoops, Scheduler scheduler, MessageCodec codec,
+	public TcpPeerNetwork(TcpPeerSettings settings, PeerEventLoops eventLoops, Scheduler scheduler, MessageCodec codec,
 			RandomGenerator random, MetricRegistry metrics) {
 		this.settings = settings;
 		this.eventLoops = eventLoops;
@@ -130,7 +130,7 @@
 	public int start(PeerDirectory directory) throws ServingException {
 		this.connections = new PeerConnections(new PeerEnvironment(this.settings.identity().incarnation().vm(),
 				this.scheduler, this.random, directory, this::dial, this.settings.timings(),
-				this.settings.mostQueuedBytes(), this.counters, this.codec.encode(new Ping())));
+				this.settings.maxQueuedBytes(), this.counters, this.codec.encode(new Ping())));
 		this.server = bind();
 		this.tickTimer = this.scheduler.repeat(TICK_INTERVAL, this.connections::tick);
 		return ((InetSocketAddress) this.server.localAddress()).getPort();
@@ -154,7 +154,7 @@
 	}
 
 	private boolean send(VmId to, byte[] payload) {
-		if (payload.length > this.settings.largestFrame()) {
+		if (payload.length > this.settings.maxFrameBytes()) {
 			this.counters.sendRefused();
 			return false;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TcpPeerSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TcpPeerSettings.java
@@ -29,9 +29,9 @@
 
 	private final byte[] key;
 
-	private final int largestFrame;
+	private final int maxFrameBytes;
 
-	private final long mostQueuedBytes;
+	private final long maxQueuedBytes;
 
 	private final PeerTimings timings;
 
@@ -39,8 +39,8 @@
 		this.identity = builder.identity;
 		this.listen = builder.listen;
 		this.key = builder.key;
-		this.largestFrame = builder.largestFrame;
-		this.mostQueuedBytes = builder.mostQueuedBytes;
+		this.maxFrameBytes = builder.maxFrameBytes;
+		this.maxQueuedBytes = builder.maxQueuedBytes;
 		this.timings = builder.timings;
 	}
 
@@ -60,12 +60,12 @@
 		return this.key;
 	}
 
-	public int largestFrame() {
-		return this.largestFrame;
+	public int maxFrameBytes() {
+		return this.maxFrameBytes;
 	}
 
-	public long mostQueuedBytes() {
-		return this.mostQueuedBytes;
+	public long maxQueuedBytes() {
+		return this.maxQueuedBytes;
 	}
 
 	public PeerTimings timings() {
@@ -83,9 +83,9 @@
 
 		private byte[] key;
 
-		private int largestFrame = DEFAULT_MAX_FRAME_BYTES;
+		private int maxFrameBytes = DEFAULT_MAX_FRAME_BYTES;
 
-		private long mostQueuedBytes = (long) DEFAULT_QUEUED_FRAMES * DEFAULT_MAX_FRAME_BYTES;
+		private long maxQueuedBytes = (long) DEFAULT_QUEUED_FRAMES * DEFAULT_MAX_FRAME_BYTES;
 
 		private PeerTimings timings = PeerTimings.DEFAULT;
 
@@ -117,13 +117,13 @@
 			return this;
 		}
 
-		public Builder largestFrame(int largestFrame) {
-			this.largestFrame = largestFrame;
+		public Builder maxFrameBytes(int largestFrame) {
+			this.maxFrameBytes = largestFrame;
 			return this;
 		}
 
-		public Builder mostQueuedBytes(long mostQueuedBytes) {
-			this.mostQueuedBytes = mostQueuedBytes;
+		public Builder maxQueuedBytes(long mostQueuedBytes) {
+			this.maxQueuedBytes = mostQueuedBytes;
 			return this;
 		}
 
@@ -140,13 +140,13 @@
 				throw new IllegalArgumentException(
 						"shared key must have at least " + MIN_KEY_BYTES + " bytes, has " + this.key.length);
 			}
-			if (this.largestFrame < Handshake.MAX_FRAME_BYTES) {
+			if (this.maxFrameBytes < Handshake.MAX_FRAME_BYTES) {
 				throw new IllegalArgumentException("largest frame must be at least " + Handshake.MAX_FRAME_BYTES
-						+ " bytes, was " + this.largestFrame);
+						+ " bytes, was " + this.maxFrameBytes);
 			}
-			if (this.mostQueuedBytes < this.largestFrame) {
+			if (this.maxQueuedBytes < this.maxFrameBytes) {
 				throw new IllegalArgumentException("bound on queued bytes must be at least the largest frame, "
-						+ this.largestFrame + ", was " + this.mostQueuedBytes);
+						+ this.maxFrameBytes + ", was " + this.maxQueuedBytes);
 			}
 			return new TcpPeerSettings(this);
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/HttpObjectStore.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/HttpObjectStore.java
@@ -78,9 +78,9 @@
 
 	@Override
 	public CompletableFuture<StoredObject> write(ObjectKey key, byte[] value, long expected) {
-		if (value.length > LARGEST_VALUE) {
+		if (value.length > MAX_VALUE_BYTES) {
 			return CompletableFuture.failedFuture(new PlatformException(PlatformException.Kind.TOO_LARGE,
-					key + " with " + value.length + " bytes exceeds " + LARGEST_VALUE));
+					key + " with " + value.length + " bytes exceeds " + MAX_VALUE_BYTES));
 		}
 		Call call = new Call(HttpMethod.PUT, conditional(key, expected), value, Duration.ZERO);
 		return call("write", call, (reply) -> new StoredObject(key, reply.requireSuccess().version(), value));
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/platform/ObjectStore.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/platform/ObjectStore.java
@@ -17,7 +17,7 @@
 public interface ObjectStore {
 
 	/** The maximum size of a value, in bytes. */
-	int LARGEST_VALUE = 1_000_000;
+	int MAX_VALUE_BYTES = 1_000_000;
 
 	/**
 	 * Reads one object.
@@ -46,7 +46,7 @@
 	/**
 	 * Writes an object if the stored version is the expected one.
 	 * @param key the key
-	 * @param value the new value, at most {@link #LARGEST_VALUE} bytes
+	 * @param value the new value, at most {@link #MAX_VALUE_BYTES} bytes
 	 * @param expected the expected stored version; 0 means that the object must not exist
 	 * @return the object as stored
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRun.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRun.java
@@ -81,7 +81,7 @@
 	}
 
 	@Override
-	public void grew() {
+	public void answerExtended() {
 		long now = scheduler().nanos();
 		if (!this.streaming) {
 			this.streaming = true;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRunner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRunner.java
@@ -5,8 +5,8 @@
 import org.bramleyscale.internal.endpoint.EndpointPool;
 import org.bramleyscale.internal.endpoint.EngineClient;
 import org.bramleyscale.internal.endpoint.EngineRequest;
+import org.bramleyscale.internal.request.attempt.AttemptCanceller;
 import org.bramleyscale.internal.request.attempt.AttemptLimits;
-import org.bramleyscale.internal.request.attempt.CancelDriver;
 import org.bramleyscale.internal.request.attempt.GenerationAttempt;
 import org.bramleyscale.internal.request.life.LifeEvent;
 import org.bramleyscale.internal.time.Scheduler;
@@ -31,7 +31,7 @@
 
 	private final EndpointPool pool;
 
-	private final CancelDriver canceller;
+	private final AttemptCanceller canceller;
 
 	private final AttemptLimits limits;
 
@@ -39,7 +39,7 @@
 
 	private final AttemptListener listener;
 
-	GenerationRunner(Scheduler scheduler, EngineClient client, EndpointPool pool, CancelDriver canceller,
+	GenerationRunner(Scheduler scheduler, EngineClient client, EndpointPool pool, AttemptCanceller canceller,
 			AttemptLimits limits, RequestMetrics metrics, AttemptListener listener) {
 		this.scheduler = scheduler;
 		this.client = client;
@@ -70,7 +70,7 @@
 		return this.pool;
 	}
 
-	CancelDriver canceller() {
+	AttemptCanceller canceller() {
 		return this.canceller;
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/LocalRequests.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/LocalRequests.java
@@ -96,12 +96,12 @@
 	}
 
 	@Override
-	public Cancellable adopt(GenerateRequest request, AnswerLog delivered, RecordReader reader) {
+	public Cancellable takeOver(GenerateRequest request, AnswerLog delivered, RecordReader reader) {
 		return adopt(new Work.Generation(request), request.id().orElseThrow(), delivered, reader);
 	}
 
 	@Override
-	public Cancellable adopt(PlainRequest request, RecordReader reader) {
+	public Cancellable takeOver(PlainRequest request, RecordReader reader) {
 		return adopt(new Work.Call(request), request.id().orElseThrow(), null, reader);
 	}
 
@@ -235,7 +235,7 @@
 		}
 		record.add(reader);
 		if (record.log() != null) {
-			reader.grew(record.log());
+			reader.answerExtended(record.log());
 		}
 		return () -> detach(record, reader);
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestFlow.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestFlow.java
@@ -10,8 +10,8 @@
 import org.bramleyscale.internal.configuration.EndpointEntry;
 import org.bramleyscale.internal.endpoint.EngineUsage;
 import org.bramleyscale.internal.endpoint.ServiceReply;
+import org.bramleyscale.internal.request.attempt.AttemptCanceller;
 import org.bramleyscale.internal.request.attempt.AttemptLimits;
-import org.bramleyscale.internal.request.attempt.CancelDriver;
 import org.bramleyscale.internal.request.attempt.Failures;
 import org.bramleyscale.internal.request.attempt.RetryBudget;
 import org.bramleyscale.internal.request.life.LifeEvent;
@@ -62,7 +62,7 @@
 
 	private final CallRunner calls;
 
-	private final CancelDriver canceller;
+	private final AttemptCanceller canceller;
 
 	RequestFlow(RequestPorts ports, RequestSettings settings, RequestMetrics metrics, RecordStore records,
 			UsedIds usedIds) {
@@ -72,9 +72,9 @@
 		this.records = records;
 		this.usedIds = usedIds;
 		this.estimator = ports.estimator();
-		this.budget = new RetryBudget(this.scheduler, settings.retryShare(), settings.retriesPerSecond(), RETRY_BURST);
+		this.budget = new RetryBudget(this.scheduler, settings.retryRatio(), settings.retriesPerSecond(), RETRY_BURST);
 		this.dispatcher = new Dispatcher(ports, records, this);
-		this.canceller = new CancelDriver(this.scheduler, ports.client(),
+		this.canceller = new AttemptCanceller(this.scheduler, ports.client(),
 				(endpoint) -> ports.configuration().current().endpoint(endpoint), metrics);
 		AttemptLimits limits = new AttemptLimits(settings.streamSilence(), GAP_TIMEOUT, RESUME_DELAY,
 				MAX_RESUMES_WITHOUT_PROGRESS, MAX_ANSWER_CHARS);
@@ -202,7 +202,7 @@
 		}
 		boolean timeLeft = record.deadline() - this.scheduler.nanos() > MIN_RETRY_TIME_NANOS;
 		boolean attemptsLeft = record.attempts() < this.settings.maxAttempts();
-		return timeLeft && attemptsLeft && !Failures.definitive(failure.code()) && this.budget.take();
+		return timeLeft && attemptsLeft && !Failures.definitive(failure.code()) && this.budget.tryAcquire();
 	}
 
 	private void fail(RequestRecord record, ErrorCode code, Step step, String peer, String message) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestRecord.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestRecord.java
@@ -200,7 +200,7 @@
 	}
 
 	void notifyGrowth() {
-		notifyReaders((reader) -> reader.grew(this.log));
+		notifyReaders((reader) -> reader.answerExtended(this.log));
 	}
 
 	void endCompleted(EngineUsage used) {
@@ -232,7 +232,7 @@
 	 */
 	void replay(RecordReader reader) {
 		if (this.log != null) {
-			reader.grew(this.log);
+			reader.answerExtended(this.log);
 		}
 		notifyEnd(reader);
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestSettings.java
@@ -28,7 +28,7 @@
 
 	private final int maxBodyBytes;
 
-	private final double retryShare;
+	private final double retryRatio;
 
 	private final double retriesPerSecond;
 
@@ -44,7 +44,7 @@
 		this.recordBytes = positive("record bytes", builder.recordBytes);
 		this.maxUsedIds = positive("maximum number of used ids", builder.maxUsedIds);
 		this.maxBodyBytes = positive("maximum body size", builder.maxBodyBytes);
-		this.retryShare = builder.retryShare;
+		this.retryRatio = builder.retryShare;
 		this.retriesPerSecond = builder.retriesPerSecond;
 		this.maxAttempts = positive("attempts", builder.maxAttempts);
 	}
@@ -129,13 +129,13 @@
 	 * The retries added to the retry budget for each first attempt.
 	 * @return 0.1 by default
 	 */
-	public double retryShare() {
-		return this.retryShare;
+	public double retryRatio() {
+		return this.retryRatio;
 	}
 
 	/**
 	 * The retries added to the retry budget per second, in addition to
-	 * {@link #retryShare()}.
+	 * {@link #retryRatio()}.
 	 * @return 0.5 by default
 	 */
 	public double retriesPerSecond() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/AnswerReader.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/AnswerReader.java
@@ -44,7 +44,7 @@
 	}
 
 	@Override
-	public void grew(AnswerLog log) {
+	public void answerExtended(AnswerLog log) {
 		while (this.index < log.pieces()) {
 			AnswerPiece piece = log.piece(this.index);
 			this.index++;
@@ -54,7 +54,7 @@
 
 	@Override
 	public void completed(AnswerLog log, EngineUsage usage) {
-		grew(log);
+		answerExtended(log);
 		this.sink.completed(usage);
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/PlainReader.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/PlainReader.java
@@ -37,7 +37,7 @@
 	}
 
 	@Override
-	public void grew(AnswerLog log) {
+	public void answerExtended(AnswerLog log) {
 	}
 
 	@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/RecordReader.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/answer/RecordReader.java
@@ -24,7 +24,7 @@
 	 */
 	boolean begin(AnswerLog log);
 
-	void grew(AnswerLog log);
+	void answerExtended(AnswerLog log);
 
 	void completed(AnswerLog log, EngineUsage usage);
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/CancelDriver.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/AttemptCanceller.java
@@ -24,7 +24,7 @@
  * each cancel is retried with exponential back-off until the engine answers it, has
  * restarted since, or is no longer in the register. Confined to the scheduler's thread.
  */
-public final class CancelDriver {
+public final class AttemptCanceller {
 
 	private static final Duration INITIAL_BACK_OFF = Duration.ofSeconds(1);
 
@@ -40,7 +40,7 @@
 
 	private final List<PendingCancel> pending = new ArrayList<>();
 
-	public CancelDriver(Scheduler scheduler, EngineClient client,
+	public AttemptCanceller(Scheduler scheduler, EngineClient client,
 			Function<EndpointId, Optional<EndpointEntry>> register, RequestMetrics metrics) {
 		this.scheduler = scheduler;
 		this.client = client;
@@ -119,27 +119,28 @@
 				confirm();
 				return;
 			}
-			CancelDriver.this.metrics.cancelSent();
+			AttemptCanceller.this.metrics.cancelSent();
 			// The retry is scheduled before the outcome of the call is known because the
 			// call may never complete, not even with an error.
-			CancelDriver.this.scheduler.schedule(this.backOff, this::send);
+			AttemptCanceller.this.scheduler.schedule(this.backOff, this::send);
 			this.backOff = nextBackOff(this.backOff);
-			CancelDriver.this.client.cancel(this.endpoint, this.id, this.attempt).whenComplete((result, failure) -> {
-				if (failure == null) {
-					boolean first = !this.done;
-					confirm();
-					if (first) {
-						this.onResult.accept(result);
+			AttemptCanceller.this.client.cancel(this.endpoint, this.id, this.attempt)
+				.whenComplete((result, failure) -> {
+					if (failure == null) {
+						boolean first = !this.done;
+						confirm();
+						if (first) {
+							this.onResult.accept(result);
+						}
 					}
-				}
-				else {
-					checkForRestart();
-				}
-			});
+					else {
+						checkForRestart();
+					}
+				});
 		}
 
 		private void checkForRestart() {
-			CancelDriver.this.client.report(this.endpoint).whenComplete((report, failure) -> {
+			AttemptCanceller.this.client.report(this.endpoint).whenComplete((report, failure) -> {
 				if (failure != null) {
 					return;
 				}
@@ -151,7 +152,7 @@
 		}
 
 		private boolean unregistered() {
-			return CancelDriver.this.register.apply(this.endpoint.name()).isEmpty();
+			return AttemptCanceller.this.register.apply(this.endpoint.name()).isEmpty();
 		}
 
 		private void confirm() {
@@ -159,8 +160,8 @@
 				return;
 			}
 			this.done = true;
-			CancelDriver.this.pending.remove(this);
-			CancelDriver.this.metrics.cancelConfirmed();
+			AttemptCanceller.this.pending.remove(this);
+			AttemptCanceller.this.metrics.cancelConfirmed();
 		}
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/AttemptOwner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/AttemptOwner.java
@@ -13,7 +13,7 @@
 public interface AttemptOwner {
 
 	/** Tokens were added to the answer log. */
-	void grew();
+	void answerExtended();
 
 	/** A stale or duplicate frame was discarded. */
 	void lateFrame();
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/GenerationAttempt.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/GenerationAttempt.java
@@ -197,7 +197,7 @@
 			this.gapTimer.stop();
 		}
 		restartSilenceTimer();
-		this.owner.grew();
+		this.owner.answerExtended();
 		if (!this.closed && this.log.textLength() > this.limits.answerChars()) {
 			abandon(failure("exceeded the maximum answer length of " + this.limits.answerChars() + " characters"));
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/RetryBudget.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/RetryBudget.java
@@ -59,7 +59,7 @@
 	 * Consumes one retry from the budget.
 	 * @return false if the budget is exhausted
 	 */
-	public boolean take() {
+	public boolean tryAcquire() {
 		long now = this.clock.nanos();
 		add(this.retriesPerSecond * (now - this.refilledAt) / Duration.ofSeconds(1).toNanos());
 		this.refilledAt = now;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardedRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardedRequest.java
@@ -113,7 +113,7 @@
 			GenerateRequest adopted = new GenerateRequest(this.request.id(), this.request.account(),
 					this.request.service(), this.request.model(), this.request.prompt(), this.request.maxTokens(),
 					this.request.repeatable(), remainingTime);
-			return localRequests.adopt(adopted, delivered, reader);
+			return localRequests.takeOver(adopted, delivered, reader);
 		}
 
 	}
@@ -168,7 +168,7 @@
 			PlainRequest adopted = new PlainRequest(this.request.id(), this.request.account(), this.request.service(),
 					this.request.method(), this.request.path(), this.request.headers(), this.request.body(),
 					this.request.repeatable(), remainingTime);
-			return localRequests.adopt(adopted, reader);
+			return localRequests.takeOver(adopted, reader);
 		}
 
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/HomeRequests.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/HomeRequests.java
@@ -39,7 +39,7 @@
 	 * @param reader receives the rest of the answer
 	 * @return a handle that detaches the reader
 	 */
-	Cancellable adopt(GenerateRequest request, AnswerLog delivered, RecordReader reader);
+	Cancellable takeOver(GenerateRequest request, AnswerLog delivered, RecordReader reader);
 
 	/**
 	 * Starts a repeatable call whose home daemon, identified by its id, is lost.
@@ -47,6 +47,6 @@
 	 * @param reader receives the reply
 	 * @return a handle that detaches the reader
 	 */
-	Cancellable adopt(PlainRequest request, RecordReader reader);
+	Cancellable takeOver(PlainRequest request, RecordReader reader);
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/InboundForward.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/InboundForward.java
@@ -120,7 +120,7 @@
 	}
 
 	@Override
-	public void grew(AnswerLog answer) {
+	public void answerExtended(AnswerLog answer) {
 		pump();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/settings/NameSuggestion.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/settings/NameSuggestion.java
@@ -24,7 +24,7 @@
 	 * @return for example {@code ; did you mean 'vm'?}, or an empty string if no name is
 	 * close enough
 	 */
-	public static String phrase(String given, Collection<String> known) {
+	public static String suggestion(String given, Collection<String> known) {
 		return known.stream()
 			.min(Comparator.comparingInt((name) -> distance(given, name)))
 			.filter((name) -> distance(given, name) <= maxEdits(name))
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/settings/SettingsLoader.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/settings/SettingsLoader.java
@@ -116,7 +116,8 @@
 	private static void set(Settings.Builder builder, String name, String text, List<SettingsProblem> problems) {
 		SettingKey<?> key = KEYS.get(name);
 		if (key == null) {
-			problems.add(new SettingsProblem(name, text, "a known key" + NameSuggestion.phrase(name, KEYS.keySet())));
+			problems
+				.add(new SettingsProblem(name, text, "a known key" + NameSuggestion.suggestion(name, KEYS.keySet())));
 			return;
 		}
 		try {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/steward/FencedOrders.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/steward/FencedOrders.java
@@ -76,7 +76,7 @@
 	 * @param desired the desired value
 	 * @return the outcome; the future never completes exceptionally
 	 */
-	public CompletableFuture<OrderOutcome> give(EndpointEntry endpoint, EngineOrder.Kind kind, String desired) {
+	public CompletableFuture<OrderOutcome> send(EndpointEntry endpoint, EngineOrder.Kind kind, String desired) {
 		if (!acceptsOrders(endpoint)) {
 			return CompletableFuture.completedFuture(count(OrderOutcome.TOO_EARLY));
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/steward/Steward.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/steward/Steward.java
@@ -80,10 +80,10 @@
 	 * Starts trying to acquire the lease.
 	 */
 	public void start() {
-		this.leases.seek(leaseName(this.dataCentre), new LeaseListener() {
+		this.leases.acquire(leaseName(this.dataCentre), new LeaseListener() {
 
 			@Override
-			public void taken(Lease lease) {
+			public void acquired(Lease lease) {
 				Steward.this.tenure = new Tenure(lease);
 			}
 
@@ -136,8 +136,8 @@
 		private Tenure(Lease lease) {
 			Steward steward = Steward.this;
 			this.lease = lease;
-			this.orders = new FencedOrders(steward.scheduler, steward.engines, lease,
-					steward.settings.longestLateOrder(), steward.metrics);
+			this.orders = new FencedOrders(steward.scheduler, steward.engines, lease, steward.settings.maxOrderDelay(),
+					steward.metrics);
 			this.plan = new ModelLoadPlan(steward.settings);
 			this.reconciliation = steward.scheduler.repeat(steward.settings.reconcileInterval(), this::reconcile);
 		}
@@ -154,7 +154,7 @@
 
 		private void send(PlannedOrder order, ObservedEndpoint endpoint) {
 			this.plan.issued(order, endpoint.report().boot(), Steward.this.scheduler.nanos());
-			this.orders.give(endpoint.entry(), order.kind(), order.model()).thenAccept((outcome) -> {
+			this.orders.send(endpoint.entry(), order.kind(), order.model()).thenAccept((outcome) -> {
 				if (outcome != OrderOutcome.ACCEPTED) {
 					this.plan.failed(order, Steward.this.scheduler.nanos());
 				}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/steward/StewardSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/steward/StewardSettings.java
@@ -7,7 +7,7 @@
  *
  * @param reconcileInterval the delay between two comparisons of desired and observed
  * models
- * @param longestLateOrder the maximum delay with which an order of an earlier holder may
+ * @param maxOrderDelay the maximum delay with which an order of an earlier holder may
  * arrive at an endpoint that doesn't check fencing numbers
  * @param repeatDelay how long an unload may take to show in the endpoint's report before
  * it is ordered again, and the delay before any failed order is repeated
@@ -15,7 +15,7 @@
  * @param maxConcurrentLoads the maximum number of concurrent loads; limited because the
  * weight store is rate limited
  */
-public record StewardSettings(Duration reconcileInterval, Duration longestLateOrder, Duration repeatDelay,
+public record StewardSettings(Duration reconcileInterval, Duration maxOrderDelay, Duration repeatDelay,
 		Duration loadTimeout, int maxConcurrentLoads) {
 
 	/** The default settings. */
@@ -24,7 +24,7 @@
 
 	public StewardSettings {
 		requirePositive("reconcile interval", reconcileInterval);
-		requirePositive("maximum order delay", longestLateOrder);
+		requirePositive("maximum order delay", maxOrderDelay);
 		requirePositive("repeat delay", repeatDelay);
 		requirePositive("load timeout", loadTimeout);
 		if (maxConcurrentLoads <= 0) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/address/RendezvousAddressBookTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/address/RendezvousAddressResolverTests.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class RendezvousAddressBookTests {
+class RendezvousAddressResolverTests {
 
 	private static final ClientAccountId ACCOUNT = new ClientAccountId("quarry-1");
 
@@ -33,10 +33,10 @@
 
 	private final FixedConfiguration configuration = new FixedConfiguration();
 
-	private final RendezvousAddressBook addressBook = new RendezvousAddressBook(this.view, this.configuration,
+	private final RendezvousAddressResolver addressBook = new RendezvousAddressResolver(this.view, this.configuration,
 			Duration.ofSeconds(10));
 
-	RendezvousAddressBookTests() {
+	RendezvousAddressResolverTests() {
 		for (int i = 0; i < 9; i++) {
 			this.view.put("entry-" + i, List.of("rawang", "semenyih", "shah-alam").get(i % 3), Member.State.ALIVE);
 		}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/admission/LimitShareExchangeTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/admission/LimitShareExchangeTests.java
@@ -66,7 +66,7 @@
 	@Test
 	void boundsTheExcessWhileADaemonIsPartitioned() {
 		load(Duration.ofSeconds(20), 100, 100, 15_000);
-		this.hub.cut(vm(0), vm(2));
+		this.hub.disconnect(vm(0), vm(2));
 		load(Duration.ofSeconds(10), 15_000, 15_000, 15_000);
 		long[] taken = load(Duration.ofSeconds(20), 15_000, 15_000, 15_000);
 		Truth.assertThat(taken[2] / 20.0).isAtMost(LIMIT / 3 * 1.05);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/configuration/ConfigurationFootprintTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/configuration/ConfigurationFootprintTests.java
@@ -19,8 +19,8 @@
 	void theTargetSizeFitsIntoThePlatformsObjects() {
 		Rules rules = Samples.rules(IntStream.range(0, ACCOUNTS).toArray());
 		ConfigurationFootprint footprint = ConfigurationFootprint.of(Samples.register(ENDPOINTS), rules);
-		Truth.assertThat(footprint.largestPartBytes()).isLessThan(ObjectStore.LARGEST_VALUE / 20);
-		Truth.assertThat(footprint.headBytes()).isLessThan(ObjectStore.LARGEST_VALUE / 20);
+		Truth.assertThat(footprint.largestPartBytes()).isLessThan(ObjectStore.MAX_VALUE_BYTES / 20);
+		Truth.assertThat(footprint.headBytes()).isLessThan(ObjectStore.MAX_VALUE_BYTES / 20);
 		Truth.assertThat(footprint.changeBytes()).isLessThan(256);
 		Truth.assertThat(footprint.entries()).isEqualTo(ACCOUNTS + ENDPOINTS + 4);
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeLeases.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeLeases.java
@@ -86,7 +86,7 @@
 		next.number = this.numbers.merge(name, 1L, Long::sum);
 		this.scheduler.execute(() -> {
 			if (this.holders.get(name) == next) {
-				next.listener.taken(next);
+				next.listener.acquired(next);
 			}
 		});
 	}
@@ -100,7 +100,7 @@
 		}
 
 		@Override
-		public void seek(String name, LeaseListener listener) {
+		public void acquire(String name, LeaseListener listener) {
 			FakeLeases.this.seekers.computeIfAbsent(name, (key) -> new LinkedHashMap<>())
 				.put(this.vm, new Seeker(name, this.vm, listener));
 			assign(name);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/MembershipServiceTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/MembershipServiceTests.java
@@ -424,7 +424,7 @@
 
 	private static void split(Fleet fleet, List<String> left, List<String> right, boolean connectionsClosed) {
 		if (connectionsClosed) {
-			fleet.forEachPair(left, right, fleet.hub::cut);
+			fleet.forEachPair(left, right, fleet.hub::disconnect);
 		}
 		else {
 			fleet.forEachPair(left, right, fleet.hub::silence);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/PlannedLeaveTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/PlannedLeaveTests.java
@@ -60,7 +60,7 @@
 		fleet.daemon("rawang-0").membership.leave();
 		fleet.advance(Duration.ofSeconds(5));
 		List<String> others = List.of("semenyih-0", "shah-alam-0");
-		fleet.forEachPair(List.of("rawang-0"), others, fleet.hub::cut);
+		fleet.forEachPair(List.of("rawang-0"), others, fleet.hub::disconnect);
 		fleet.advance(Duration.ofSeconds(seconds));
 		Truth.assertThat(fleet.statesSeenBy(others, "rawang-0")).containsExactly(meanwhile);
 		fleet.forEachPair(List.of("rawang-0"), others, fleet.hub::heal);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/membership/UnresponsiveDataCentreTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/membership/UnresponsiveDataCentreTests.java
@@ -31,7 +31,7 @@
 		List<String> rest = Stream.of("shah-alam", "semenyih")
 			.flatMap((dataCentre) -> names(perDataCentre, dataCentre).stream())
 			.toList();
-		fleet.forEachPair(isolated, rest, fleet.hub::cut);
+		fleet.forEachPair(isolated, rest, fleet.hub::disconnect);
 		fleet.advance(CONFIGURATION_STALE_AFTER.minusMillis(500));
 		for (String other : rest) {
 			Truth.assertThat(fleet.statesSeenBy(isolated, other)).containsExactly(Member.State.SUSPECT);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/attempt/RetryBudgetTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/attempt/RetryBudgetTests.java
@@ -40,7 +40,7 @@
 	}
 
 	private int take() {
-		return (this.budget.take()) ? 1 : 0;
+		return (this.budget.tryAcquire()) ? 1 : 0;
 	}
 
 }
--- a/standins/src/main/java/org/bramleyscale/standins/platform/PlatformState.java
+++ b/standins/src/main/java/org/bramleyscale/standins/platform/PlatformState.java
@@ -75,9 +75,9 @@
 	}
 
 	public StoredObject write(ObjectKey key, byte[] value, long expected) throws PlatformException {
-		if (value.length > ObjectStore.LARGEST_VALUE) {
+		if (value.length > ObjectStore.MAX_VALUE_BYTES) {
 			throw new PlatformException(PlatformException.Kind.TOO_LARGE,
-					key + " with " + value.length + " bytes exceeds the limit of " + ObjectStore.LARGEST_VALUE);
+					key + " with " + value.length + " bytes exceeds the limit of " + ObjectStore.MAX_VALUE_BYTES);
 		}
 		return kind(key.kind()).write(key, value, expected);
 	}
--- a/standins/src/test/java/org/bramleyscale/standins/fleet/Fleet.java
+++ b/standins/src/test/java/org/bramleyscale/standins/fleet/Fleet.java
@@ -267,7 +267,7 @@
 	private void applyPartitions() {
 		this.vms.forEach((left, leftDataCentre) -> this.vms.forEach((right, rightDataCentre) -> {
 			if (!connected(leftDataCentre, rightDataCentre)) {
-				this.hub.cut(left, right);
+				this.hub.disconnect(left, right);
 			}
 		}));
 		this.daemons.forEach((vm, daemon) -> daemon.store().setPartitioned(this.isolated.contains(this.vms.get(vm))));
--- a/standins/src/test/java/org/bramleyscale/standins/platform/LeaseCluster.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/LeaseCluster.java
@@ -136,7 +136,7 @@
 		}
 
 		void seek() {
-			this.manager.seek(LEASE, this);
+			this.manager.acquire(LEASE, this);
 		}
 
 		boolean holds() {
@@ -144,7 +144,7 @@
 		}
 
 		@Override
-		public void taken(Lease lease) {
+		public void acquired(Lease lease) {
 			Truth.assertThat(lease.held()).isTrue();
 			this.events.add("taken " + lease.number());
 			LeaseCluster.this.numbers.add(lease.number());
--- a/standins/src/test/java/org/bramleyscale/standins/platform/LeaseTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/LeaseTests.java
@@ -38,7 +38,7 @@
 	void takesAReleasedLeaseWithoutWaitingForItsExpiry() {
 		LeaseCluster cluster = new LeaseCluster(2).started();
 		cluster.daemon(0).manager().release(LeaseCluster.LEASE);
-		cluster.advance(LeaseCluster.SETTINGS.renewEvery().multipliedBy(2));
+		cluster.advance(LeaseCluster.SETTINGS.renewInterval().multipliedBy(2));
 		Truth.assertThat(cluster.holders()).containsExactly(cluster.daemon(1));
 		Truth.assertThat(cluster.daemon(0).events()).containsExactly("taken 1", "lost 1").inOrder();
 	}
--- a/standins/src/test/java/org/bramleyscale/standins/platform/ObjectStoreContractTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/ObjectStoreContractTests.java
@@ -59,7 +59,7 @@
 	void takesTheLargestValue(Implementation implementation) throws Exception {
 		try (StoreFixture fixture = implementation.start(LIMITS)) {
 			ObjectStore store = fixture.store();
-			byte[] largest = new byte[ObjectStore.LARGEST_VALUE];
+			byte[] largest = new byte[ObjectStore.MAX_VALUE_BYTES];
 			largest[largest.length - 1] = 7;
 			fixture.call(() -> store.write(KEY, largest, 0));
 			Truth.assertThat(fixture.call(() -> store.read(KEY)).orElseThrow().value()).isEqualTo(largest);
@@ -172,7 +172,7 @@
 	@EnumSource
 	void refusesAValueOverTheLimit(Implementation implementation) throws Exception {
 		try (StoreFixture fixture = implementation.start(LIMITS)) {
-			byte[] value = new byte[ObjectStore.LARGEST_VALUE + 1];
+			byte[] value = new byte[ObjectStore.MAX_VALUE_BYTES + 1];
 			PlatformException failure = failure(fixture, () -> fixture.store().write(KEY, value, 0));
 			Truth.assertThat(failure.kind()).isEqualTo(PlatformException.Kind.TOO_LARGE);
 		}
--- a/standins/src/test/java/org/bramleyscale/standins/platform/StewardTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/StewardTests.java
@@ -48,7 +48,7 @@
 		// Cause: a check before sending cannot cover the time in transit.
 		FakeEngines.Client slow = steward(0, FakeEngines.entry("e1", checksFencing, "old"));
 		slow.delay(Duration.ofMinutes(1));
-		this.cluster.advance(SETTINGS.longestLateOrder().plusSeconds(2));
+		this.cluster.advance(SETTINGS.maxOrderDelay().plusSeconds(2));
 		this.cluster.daemon(0).scheduler().pause();
 		steward(1, FakeEngines.entry("e1", checksFencing, "new"));
 		this.cluster.advance(Duration.ofMinutes(1).plusSeconds(30));
@@ -61,7 +61,7 @@
 	@ValueSource(booleans = { true, false })
 	void waitsForLateOrdersOnlyIfFencingIsNotChecked(boolean checksFencing) {
 		steward(0, FakeEngines.entry("e1", checksFencing, "m1"));
-		this.cluster.advance(SETTINGS.longestLateOrder().minusSeconds(1));
+		this.cluster.advance(SETTINGS.maxOrderDelay().minusSeconds(1));
 		Truth.assertThat(this.engines.log().isEmpty()).isEqualTo(!checksFencing);
 		this.cluster.advance(Duration.ofSeconds(3));
 		Truth.assertThat(this.engines.models("e1")).containsExactly("m1");
@@ -96,11 +96,11 @@
 		this.cluster.started();
 		Lease lease = this.cluster.daemon(0).manager().lease(LeaseCluster.LEASE).orElseThrow();
 		FencedOrders orders = new FencedOrders(this.cluster.daemon(0).scheduler(), this.engines.new Client(), lease,
-				SETTINGS.longestLateOrder(), new MetricRegistry());
+				SETTINGS.maxOrderDelay(), new MetricRegistry());
 		EndpointEntry engine = FakeEngines.entry("e1", true, "m1");
 		this.cluster.daemon(0).scheduler().pause();
 		this.cluster.advance(LeaseCluster.SETTINGS.duration());
-		CompletableFuture<OrderOutcome> outcome = orders.give(engine, EngineOrder.Kind.LOAD_MODEL, "m1");
+		CompletableFuture<OrderOutcome> outcome = orders.send(engine, EngineOrder.Kind.LOAD_MODEL, "m1");
 		this.cluster.advance(Duration.ofSeconds(1));
 		Truth.assertThat(outcome.getNow(null)).isEqualTo(OrderOutcome.NOT_HELD);
 		Truth.assertThat(this.engines.log()).isEmpty();
