--- a/bramleyscale/src/main/java/org/bramleyscale/internal/address/LeaveTimes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/address/LeaveTimes.java
@@ -16,7 +16,7 @@
  */
 public record LeaveTimes(Duration keepFor, Duration propagation, Duration linger, Duration limit) {
 
-	private static final Duration DEFAULT_SPREAD = Duration.ofSeconds(3);
+	private static final Duration DEFAULT_PROPAGATION = Duration.ofSeconds(3);
 
 	private static final Duration DEFAULT_LINGER = Duration.ofSeconds(2);
 
@@ -36,7 +36,7 @@
 	 * @return the durations
 	 */
 	public static LeaveTimes forCacheTime(Duration keepFor) {
-		return new LeaveTimes(keepFor, DEFAULT_SPREAD, DEFAULT_LINGER, DEFAULT_LIMIT);
+		return new LeaveTimes(keepFor, DEFAULT_PROPAGATION, DEFAULT_LINGER, DEFAULT_LIMIT);
 	}
 
 }
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EndpointOwner.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/EndpointOwner.java
@@ -104,7 +104,7 @@
 		this.stopped = true;
 		this.tickTask.cancel();
 		this.announceTask.cancel();
-		this.shardLeases.seek(Map.of());
+		this.shardLeases.acquireOnly(Map.of());
 	}
 
 	@Override
@@ -123,7 +123,7 @@
 		}
 		Configuration current = this.configuration.current();
 		this.shards = new ShardMap(current.register(), this.membership.eligible());
-		this.shardLeases.seek(assigned(current));
+		this.shardLeases.acquireOnly(assigned(current));
 		this.endpoints.closeIf((endpoint) -> current.endpoint(endpoint.entry().name()).isEmpty());
 		List.copyOf(this.shardLeases.owned()).forEach(this::open);
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/ShardLeases.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/endpoint/owner/ShardLeases.java
@@ -22,7 +22,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * The shards that this daemon owns or seeks, and the announced owners of other shards.
+ * The shards that this daemon owns or is assigned, and the announced owners of other
+ * shards.
  *
  * <p>
  * Invariant: a shard stays owned after its lease lapses, until this daemon learns of a
@@ -59,14 +60,14 @@
 
 	private final Listener listener;
 
-	private final Map<String, Shard> sought = new HashMap<>();
+	private final Map<String, Shard> assigned = new HashMap<>();
 
 	private final Map<String, OwnedShard> owned = new HashMap<>();
 
 	private final Map<String, KnownOwner> knownOwners = new HashMap<>();
 
 	/**
-	 * Creates an instance that owns and seeks no shard.
+	 * Creates an instance without owned or assigned shards.
 	 * @param leases the leases of this daemon
 	 * @param membership the known daemons
 	 * @param peers the network on which new owners are announced
@@ -108,18 +109,18 @@
 	}
 
 	/**
-	 * Seeks the leases of these shards and of no others.
+	 * Tries to acquire the leases of these shards, and releases all others.
 	 * @param shards the shards by lease name
 	 */
-	void seek(Map<String, Shard> shards) {
-		for (String lease : List.copyOf(this.sought.keySet())) {
+	void acquireOnly(Map<String, Shard> shards) {
+		for (String lease : List.copyOf(this.assigned.keySet())) {
 			if (!shards.containsKey(lease)) {
-				this.sought.remove(lease);
+				this.assigned.remove(lease);
 				drop(lease);
 				this.leases.release(lease);
 			}
 		}
-		shards.forEach(this::seek);
+		shards.forEach(this::acquire);
 	}
 
 	/**
@@ -153,8 +154,8 @@
 		superseded(shard, message.epoch());
 	}
 
-	private void seek(String lease, Shard shard) {
-		Shard previous = this.sought.put(lease, shard);
+	private void acquire(String lease, Shard shard) {
+		Shard previous = this.assigned.put(lease, shard);
 		if (previous == null) {
 			this.leases.acquire(lease, new ShardListener(lease));
 		}
@@ -168,8 +169,8 @@
 		}
 	}
 
-	private void taken(String lease, long epoch) {
-		Shard shard = this.sought.get(lease);
+	private void acquired(String lease, long epoch) {
+		Shard shard = this.assigned.get(lease);
 		if (shard == null) {
 			return;
 		}
@@ -240,8 +241,8 @@
 		}
 
 		@Override
-		public void acquired(Lease taken) {
-			ShardLeases.this.taken(this.lease, taken.number());
+		public void acquired(Lease acquired) {
+			ShardLeases.this.acquired(this.lease, acquired.number());
 		}
 
 		@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/node/NodeSlices.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/node/NodeSlices.java
@@ -309,7 +309,7 @@
 		return RequestSettings.builder()
 			.streamSilence(this.settings.value(SettingKey.STREAM_SILENCE))
 			.maxBodyBytes(this.settings.value(SettingKey.MAX_BODY_BYTES))
-			.retryShare(this.settings.value(SettingKey.RETRY_BUDGET))
+			.retryRatio(this.settings.value(SettingKey.RETRY_BUDGET))
 			.build();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/InMemoryPeerHub.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/InMemoryPeerHub.java
@@ -36,7 +36,7 @@
 	private final Map<VmId, InMemoryPeerNetwork> networks = new TreeMap<>(
 			(left, right) -> left.value().compareTo(right.value()));
 
-	private final Set<Direction> cutDirections = new HashSet<>();
+	private final Set<Direction> disconnectedDirections = new HashSet<>();
 
 	private final Set<Direction> silentDirections = new HashSet<>();
 
@@ -78,8 +78,8 @@
 	 * @param right the other VM
 	 */
 	public void disconnect(VmId left, VmId right) {
-		this.cutDirections.add(new Direction(left, right));
-		this.cutDirections.add(new Direction(right, left));
+		this.disconnectedDirections.add(new Direction(left, right));
+		this.disconnectedDirections.add(new Direction(right, left));
 	}
 
 	/**
@@ -99,7 +99,7 @@
 	 */
 	public void heal(VmId left, VmId right) {
 		for (Direction direction : List.of(new Direction(left, right), new Direction(right, left))) {
-			this.cutDirections.remove(direction);
+			this.disconnectedDirections.remove(direction);
 			this.silentDirections.remove(direction);
 		}
 	}
@@ -168,7 +168,7 @@
 
 	private boolean connected(InMemoryPeerNetwork from, InMemoryPeerNetwork to) {
 		return to != null && to != from && running(from) && running(to)
-				&& !this.cutDirections.contains(new Direction(from.self().vm(), to.self().vm()));
+				&& !this.disconnectedDirections.contains(new Direction(from.self().vm(), to.self().vm()));
 	}
 
 	private boolean running(InMemoryPeerNetwork network) {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerConnections.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerConnections.java
@@ -73,19 +73,19 @@
 	void tick() {
 		long now = this.clock.nanos();
 		resetAfterOwnPause(now);
-		Set<VmId> wanted = this.directory.desiredPeers();
-		for (VmId vm : wanted) {
+		Set<VmId> desired = this.directory.desiredPeers();
+		for (VmId vm : desired) {
 			if (!vm.equals(this.self)) {
 				this.states.computeIfAbsent(vm, (key) -> new PeerState(key, now));
 			}
 		}
 		for (PeerState state : new ArrayList<>(this.states.values())) {
-			boolean isWanted = wanted.contains(state.vm());
-			closeDeadAndIdle(state, isWanted, now);
+			boolean isDesired = desired.contains(state.vm());
+			closeDeadAndIdle(state, isDesired, now);
 			state.sendHeartbeats(this.heartbeat, this.timings.heartbeatInterval().toNanos(), now);
 			expirePending(state, now);
-			dialIfNeeded(state, isWanted, now);
-			removeIfUnused(state, isWanted, now);
+			dialIfNeeded(state, isDesired, now);
+			removeIfUnused(state, isDesired, now);
 		}
 	}
 
@@ -251,12 +251,12 @@
 		return true;
 	}
 
-	private void dialIfNeeded(PeerState state, boolean wanted, long now) {
+	private void dialIfNeeded(PeerState state, boolean desired, long now) {
 		if (!state.mayDial(now)) {
 			return;
 		}
 		boolean replacing = !state.links().isEmpty();
-		if (replacing ? allSilent(state, now) : (state.hasPending() || (wanted && mayInitiate(state, now)))) {
+		if (replacing ? allSilent(state, now) : (state.hasPending() || (desired && mayInitiate(state, now)))) {
 			this.directory.address(state.vm()).ifPresent((address) -> {
 				state.dialStarted();
 				this.dialler.dial(state.vm(), address, replacing);
@@ -276,10 +276,10 @@
 		return allSilent;
 	}
 
-	private void closeDeadAndIdle(PeerState state, boolean wanted, long now) {
+	private void closeDeadAndIdle(PeerState state, boolean desired, long now) {
 		long deadBefore = now - this.timings.closeTimeout().toNanos();
 		long idleBefore = now - this.timings.idleTimeout().toNanos();
-		closeAll(state, state.deadOrIdleLinks(deadBefore, idleBefore, wanted), now);
+		closeAll(state, state.deadOrIdleLinks(deadBefore, idleBefore, desired), now);
 	}
 
 	private void closeAll(PeerState state, List<TrackedLink> links, long now) {
@@ -295,8 +295,8 @@
 		}
 	}
 
-	private void removeIfUnused(PeerState state, boolean wanted, long now) {
-		boolean inUse = wanted || !state.links().isEmpty() || state.hasPending() || state.dialling();
+	private void removeIfUnused(PeerState state, boolean desired, long now) {
+		boolean inUse = desired || !state.links().isEmpty() || state.hasPending() || state.dialling();
 		boolean backoffMatters = state.failures() > 0 && now - state.nextDialAt() < this.timings.maxBackoff().toNanos();
 		if (!inUse && !backoffMatters) {
 			this.states.remove(state.vm());
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerState.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerState.java
@@ -107,12 +107,12 @@
 	 * Returns the links to close.
 	 * @param deadBefore links that last received a frame before this are dead
 	 * @param idleBefore links that last carried a message before this are idle
-	 * @param wanted whether idle links are kept
+	 * @param desired whether the peer is desired, so that idle links are kept
 	 * @return the links to close
 	 */
-	List<TrackedLink> deadOrIdleLinks(long deadBefore, long idleBefore, boolean wanted) {
+	List<TrackedLink> deadOrIdleLinks(long deadBefore, long idleBefore, boolean desired) {
 		return this.links.stream()
-			.filter((link) -> link.silent(deadBefore) || (!wanted && link.idle(idleBefore)))
+			.filter((link) -> link.silent(deadBefore) || (!desired && link.idle(idleBefore)))
 			.toList();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerTimings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/PeerTimings.java
@@ -15,7 +15,8 @@
  * @param closeTimeout a connection on which nothing was received for this long is closed
  * @param dialGrace how long the VM with the greater name waits for the other to dial
  * first
- * @param idleTimeout an unwanted connection without messages for this long is closed
+ * @param idleTimeout a connection without messages for this long is closed unless the
+ * peer is desired
  * @param pendingTimeout how long messages stay pending for a connection that is being
  * opened
  * @param minBackoff the full back-off after the first failed dial, before jitter
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TcpPeerSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TcpPeerSettings.java
@@ -117,13 +117,13 @@
 			return this;
 		}
 
-		public Builder maxFrameBytes(int largestFrame) {
-			this.maxFrameBytes = largestFrame;
+		public Builder maxFrameBytes(int maxFrameBytes) {
+			this.maxFrameBytes = maxFrameBytes;
 			return this;
 		}
 
-		public Builder maxQueuedBytes(long mostQueuedBytes) {
-			this.maxQueuedBytes = mostQueuedBytes;
+		public Builder maxQueuedBytes(long maxQueuedBytes) {
+			this.maxQueuedBytes = maxQueuedBytes;
 			return this;
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TrackedLink.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/peer/TrackedLink.java
@@ -79,7 +79,7 @@
 	 * Returns whether this side opened the link and it has carried no message for a
 	 * while.
 	 * @param idleBefore links that last carried a message before this are idle
-	 * @return true if this side should close it unless it is wanted
+	 * @return true if this side should close it unless the peer is desired
 	 */
 	boolean idle(long idleBefore) {
 		return this.link.dialled() && this.messageAt - idleBefore < 0;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRun.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/GenerationRun.java
@@ -93,7 +93,7 @@
 		long offset = this.record.life().offset();
 		int tokens = Math.toIntExact(this.record.log().next() - offset);
 		this.record.life().apply(new LifeEvent.Frame(offset, tokens));
-		this.record.notifyGrowth();
+		this.record.notifyAnswerExtended();
 	}
 
 	@Override
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/LocalRequests.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/LocalRequests.java
@@ -97,12 +97,12 @@
 
 	@Override
 	public Cancellable takeOver(GenerateRequest request, AnswerLog delivered, RecordReader reader) {
-		return adopt(new Work.Generation(request), request.id().orElseThrow(), delivered, reader);
+		return takeOver(new Work.Generation(request), request.id().orElseThrow(), delivered, reader);
 	}
 
 	@Override
 	public Cancellable takeOver(PlainRequest request, RecordReader reader) {
-		return adopt(new Work.Call(request), request.id().orElseThrow(), null, reader);
+		return takeOver(new Work.Call(request), request.id().orElseThrow(), null, reader);
 	}
 
 	boolean hasRecord(RequestId id) {
@@ -117,7 +117,7 @@
 		return this.leaving;
 	}
 
-	private Cancellable adopt(Work work, RequestId oldId, AnswerLog delivered, RecordReader reader) {
+	private Cancellable takeOver(Work work, RequestId oldId, AnswerLog delivered, RecordReader reader) {
 		if (!work.repeatable()) {
 			throw new IllegalArgumentException("request '" + oldId + "' is not repeatable");
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestRecord.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestRecord.java
@@ -199,7 +199,7 @@
 		this.readers = fewer;
 	}
 
-	void notifyGrowth() {
+	void notifyAnswerExtended() {
 		notifyReaders((reader) -> reader.answerExtended(this.log));
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestSettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/RequestSettings.java
@@ -44,7 +44,7 @@
 		this.recordBytes = positive("record bytes", builder.recordBytes);
 		this.maxUsedIds = positive("maximum number of used ids", builder.maxUsedIds);
 		this.maxBodyBytes = positive("maximum body size", builder.maxBodyBytes);
-		this.retryRatio = builder.retryShare;
+		this.retryRatio = builder.retryRatio;
 		this.retriesPerSecond = builder.retriesPerSecond;
 		this.maxAttempts = positive("attempts", builder.maxAttempts);
 	}
@@ -191,7 +191,7 @@
 
 		private int maxBodyBytes = 16 << 20;
 
-		private double retryShare = 0.1;
+		private double retryRatio = 0.1;
 
 		private double retriesPerSecond = 0.5;
 
@@ -245,8 +245,8 @@
 			return this;
 		}
 
-		public Builder retryShare(double value) {
-			this.retryShare = value;
+		public Builder retryRatio(double value) {
+			this.retryRatio = value;
 			return this;
 		}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/RetryBudget.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/attempt/RetryBudget.java
@@ -5,7 +5,7 @@
 import org.bramleyscale.internal.time.Clock;
 
 /**
- * Limits retries to a share of first attempts plus a constant rate.
+ * Limits retries to a fraction of first attempts plus a constant rate.
  *
  * <p>
  * When many endpoints fail at once, each failed attempt would otherwise cause several
@@ -17,7 +17,7 @@
 
 	private final Clock clock;
 
-	private final double share;
+	private final double ratio;
 
 	private final double retriesPerSecond;
 
@@ -30,20 +30,20 @@
 	/**
 	 * Creates a full budget.
 	 * @param clock the clock
-	 * @param share retries allowed per first attempt
+	 * @param ratio retries allowed per first attempt
 	 * @param retriesPerSecond additional retries allowed per second
 	 * @param capacity the maximum number of unused retries that accumulate
 	 */
-	public RetryBudget(Clock clock, double share, double retriesPerSecond, double capacity) {
-		if (share < 0 || share > 1) {
-			throw new IllegalArgumentException("retry share must be from 0 to 1, was " + share);
+	public RetryBudget(Clock clock, double ratio, double retriesPerSecond, double capacity) {
+		if (ratio < 0 || ratio > 1) {
+			throw new IllegalArgumentException("retry share must be from 0 to 1, was " + ratio);
 		}
 		if (retriesPerSecond < 0 || capacity < 0) {
 			throw new IllegalArgumentException(
 					"retry rate and capacity must not be negative, were " + retriesPerSecond + " and " + capacity);
 		}
 		this.clock = clock;
-		this.share = share;
+		this.ratio = ratio;
 		this.retriesPerSecond = retriesPerSecond;
 		this.capacity = capacity;
 		this.tokens = capacity;
@@ -52,7 +52,7 @@
 
 	/** Records a first attempt, which adds to the budget. */
 	public void firstAttempt() {
-		add(this.share);
+		add(this.ratio);
 	}
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardedRequest.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/ForwardedRequest.java
@@ -33,7 +33,7 @@
 	 * Whether this daemon can start the request itself once the home daemon is lost.
 	 * @return true if the request is repeatable and completely known here
 	 */
-	boolean adoptable();
+	boolean canBeTakenOver();
 
 	/**
 	 * Returns the offset of the first token that the caller requests.
@@ -54,14 +54,14 @@
 
 	/**
 	 * Starts the request at this daemon because its home daemon is lost. The request must
-	 * be {@linkplain #adoptable() adoptable}.
+	 * be one that {@linkplain #canBeTakenOver() can be taken over}.
 	 * @param localRequests this daemon's requests
 	 * @param remainingTime the time left until the deadline
 	 * @param delivered the part of the answer already delivered to the caller, or null
 	 * @param reader receives the rest of the answer
 	 * @return a handle that detaches the reader
 	 */
-	Cancellable adopt(HomeRequests localRequests, Duration remainingTime, AnswerLog delivered, RecordReader reader);
+	Cancellable takeOver(HomeRequests localRequests, Duration remainingTime, AnswerLog delivered, RecordReader reader);
 
 	/**
 	 * A generation request.
@@ -86,7 +86,7 @@
 		}
 
 		@Override
-		public boolean adoptable() {
+		public boolean canBeTakenOver() {
 			return this.request.repeatable();
 		}
 
@@ -108,12 +108,12 @@
 		}
 
 		@Override
-		public Cancellable adopt(HomeRequests localRequests, Duration remainingTime, AnswerLog delivered,
+		public Cancellable takeOver(HomeRequests localRequests, Duration remainingTime, AnswerLog delivered,
 				RecordReader reader) {
-			GenerateRequest adopted = new GenerateRequest(this.request.id(), this.request.account(),
+			GenerateRequest takenOver = new GenerateRequest(this.request.id(), this.request.account(),
 					this.request.service(), this.request.model(), this.request.prompt(), this.request.maxTokens(),
 					this.request.repeatable(), remainingTime);
-			return localRequests.takeOver(adopted, delivered, reader);
+			return localRequests.takeOver(takenOver, delivered, reader);
 		}
 
 	}
@@ -141,7 +141,7 @@
 		}
 
 		@Override
-		public boolean adoptable() {
+		public boolean canBeTakenOver() {
 			return this.request.repeatable();
 		}
 
@@ -163,12 +163,12 @@
 		}
 
 		@Override
-		public Cancellable adopt(HomeRequests localRequests, Duration remainingTime, AnswerLog delivered,
+		public Cancellable takeOver(HomeRequests localRequests, Duration remainingTime, AnswerLog delivered,
 				RecordReader reader) {
-			PlainRequest adopted = new PlainRequest(this.request.id(), this.request.account(), this.request.service(),
+			PlainRequest takenOver = new PlainRequest(this.request.id(), this.request.account(), this.request.service(),
 					this.request.method(), this.request.path(), this.request.headers(), this.request.body(),
 					this.request.repeatable(), remainingTime);
-			return localRequests.takeOver(adopted, reader);
+			return localRequests.takeOver(takenOver, reader);
 		}
 
 	}
@@ -190,7 +190,7 @@
 		}
 
 		@Override
-		public boolean adoptable() {
+		public boolean canBeTakenOver() {
 			return false;
 		}
 
@@ -205,7 +205,7 @@
 		}
 
 		@Override
-		public Cancellable adopt(HomeRequests localRequests, Duration remainingTime, AnswerLog delivered,
+		public Cancellable takeOver(HomeRequests localRequests, Duration remainingTime, AnswerLog delivered,
 				RecordReader reader) {
 			throw new IllegalStateException("request '" + this.id + "' can't be started here: its prompt is unknown");
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/OutboundForward.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/request/forward/OutboundForward.java
@@ -70,14 +70,14 @@
 
 	private boolean ended;
 
-	private Cancellable adopted;
+	private Cancellable takenOver;
 
 	OutboundForward(OutboundForwards forwards, ForwardedRequest request, ForwardCaller caller) {
 		this.forwards = forwards;
 		this.request = request;
 		this.caller = caller;
 		this.nextOffset = request.offset();
-		this.delivered = (request instanceof ForwardedRequest.Generation && request.adoptable()) ? new AnswerLog()
+		this.delivered = (request instanceof ForwardedRequest.Generation && request.canBeTakenOver()) ? new AnswerLog()
 				: null;
 		this.silenceTimer = new ResettableTimer(forwards.scheduler(), this::onSilenceTimeout);
 		this.deadline = new ForwardDeadline(forwards.scheduler(), request.timeLeft().orElse(null), this::onDeadline);
@@ -104,8 +104,8 @@
 	 * Handles the disconnection of the caller.
 	 */
 	void detach() {
-		if (this.adopted != null) {
-			this.adopted.cancel();
+		if (this.takenOver != null) {
+			this.takenOver.cancel();
 		}
 		if (!this.ended) {
 			send(new ForwardDetach(this.number));
@@ -122,8 +122,8 @@
 		}
 		close();
 		this.forwards.metrics().homeLost();
-		if (this.request.adoptable()) {
-			this.adopted = this.request.adopt(this.forwards.home(), this.deadline.timeLeft(), this.delivered,
+		if (this.request.canBeTakenOver()) {
+			this.takenOver = this.request.takeOver(this.forwards.home(), this.deadline.timeLeft(), this.delivered,
 					this.caller.reader(this.nextOffset, this.admissionReported));
 			return;
 		}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/settings/NameSuggestion.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/settings/NameSuggestion.java
@@ -18,7 +18,7 @@
 	}
 
 	/**
-	 * A phrase that suggests the closest known name.
+	 * Returns a suggestion of the closest known name, to append to a message.
 	 * @param given the unknown name
 	 * @param known the known names
 	 * @return for example {@code ; did you mean 'vm'?}, or an empty string if no name is
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/steward/FencedOrders.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/steward/FencedOrders.java
@@ -47,17 +47,17 @@
 	 * @param scheduler the daemon's scheduler
 	 * @param engines calls the endpoints
 	 * @param lease the lease, just acquired
-	 * @param longestLateOrder the maximum delay with which an order of an earlier holder
-	 * may arrive
+	 * @param maxOrderDelay the maximum delay with which an order of an earlier holder may
+	 * arrive
 	 * @param metrics counts the outcomes
 	 */
-	public FencedOrders(Scheduler scheduler, EngineClient engines, Lease lease, Duration longestLateOrder,
+	public FencedOrders(Scheduler scheduler, EngineClient engines, Lease lease, Duration maxOrderDelay,
 			MetricRegistry metrics) {
 		this.scheduler = scheduler;
 		this.engines = engines;
 		this.lease = lease;
 		this.metrics = metrics;
-		this.acceptedFrom = scheduler.nanos() + longestLateOrder.toNanos();
+		this.acceptedFrom = scheduler.nanos() + maxOrderDelay.toNanos();
 	}
 
 	/**
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/address/RendezvousAddressResolverTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/address/RendezvousAddressResolverTests.java
@@ -33,8 +33,8 @@
 
 	private final FixedConfiguration configuration = new FixedConfiguration();
 
-	private final RendezvousAddressResolver addressBook = new RendezvousAddressResolver(this.view, this.configuration,
-			Duration.ofSeconds(10));
+	private final RendezvousAddressResolver addressResolver = new RendezvousAddressResolver(this.view,
+			this.configuration, Duration.ofSeconds(10));
 
 	RendezvousAddressResolverTests() {
 		for (int i = 0; i < 9; i++) {
@@ -45,7 +45,7 @@
 	@Test
 	void anAccountWithoutARuleGetsTwoEntriesInTwoDataCentres() {
 		for (int i = 0; i < 200; i++) {
-			AddressAnswer answer = this.addressBook.addresses(new ClientAccountId("account-" + i));
+			AddressAnswer answer = this.addressResolver.addresses(new ClientAccountId("account-" + i));
 			Truth.assertThat(answer.keepFor()).isEqualTo(Duration.ofSeconds(10));
 			Truth.assertThat(answer.entries()).hasSize(2);
 			Truth.assertThat(Set.of(dataCentre(answer, 0), dataCentre(answer, 1))).hasSize(2);
@@ -56,12 +56,12 @@
 	@ValueSource(ints = { 1, 2, 5, 9, 50 })
 	void accountRuleSetsTheNumberOfEntries(int entries) {
 		this.configuration.set(entries);
-		Truth.assertThat(this.addressBook.addresses(ACCOUNT).entries()).hasSize(Math.min(entries, 9));
+		Truth.assertThat(this.addressResolver.addresses(ACCOUNT).entries()).hasSize(Math.min(entries, 9));
 	}
 
 	@Test
 	void anEntryNamesAddressAndIncarnation() {
-		AddressAnswer.Entry first = this.addressBook.addresses(ACCOUNT).entries().get(0);
+		AddressAnswer.Entry first = this.addressResolver.addresses(ACCOUNT).entries().get(0);
 		Member member = this.view.members.stream()
 			.filter((candidate) -> candidate.httpAddress().equals(first.address()))
 			.findFirst()
@@ -72,19 +72,19 @@
 	@ParameterizedTest
 	@EnumSource(names = { "LEAVING", "DEAD" })
 	void aLeavingOrDeadEntryIsDroppedAtOnce(Member.State state) {
-		String first = this.addressBook.addresses(ACCOUNT).entries().get(0).address();
+		String first = this.addressResolver.addresses(ACCOUNT).entries().get(0).address();
 		this.view.change(first, state);
-		for (AddressAnswer.Entry entry : this.addressBook.addresses(ACCOUNT).entries()) {
+		for (AddressAnswer.Entry entry : this.addressResolver.addresses(ACCOUNT).entries()) {
 			Truth.assertThat(entry.address()).isNotEqualTo(first);
 		}
 	}
 
 	@Test
 	void suspectEntryRanksBehindAliveOnes() {
-		String first = this.addressBook.addresses(ACCOUNT).entries().get(0).address();
+		String first = this.addressResolver.addresses(ACCOUNT).entries().get(0).address();
 		this.configuration.set(9);
 		this.view.change(first, Member.State.SUSPECT);
-		List<AddressAnswer.Entry> entries = this.addressBook.addresses(ACCOUNT).entries();
+		List<AddressAnswer.Entry> entries = this.addressResolver.addresses(ACCOUNT).entries();
 		Truth.assertThat(entries.get(8).address()).isEqualTo(first);
 	}
 
@@ -101,7 +101,7 @@
 				this.view.change(member.httpAddress(), Member.State.SUSPECT);
 			}
 		}
-		AddressAnswer answer = this.addressBook.addresses(ACCOUNT);
+		AddressAnswer answer = this.addressResolver.addresses(ACCOUNT);
 		Truth.assertThat(List.of(dataCentre(answer, 0), dataCentre(answer, 1))).containsExactly("rawang", "rawang");
 	}
 
@@ -110,7 +110,7 @@
 		for (Member member : List.copyOf(this.view.members)) {
 			this.view.change(member.httpAddress(), Member.State.DEAD);
 		}
-		Truth.assertThat(this.addressBook.addresses(ACCOUNT).entries()).isEmpty();
+		Truth.assertThat(this.addressResolver.addresses(ACCOUNT).entries()).isEmpty();
 	}
 
 	private static String dataCentre(AddressAnswer answer, int index) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeLeases.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/endpoint/FakeLeases.java
@@ -11,7 +11,7 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * Leases of several daemons, assigned in the order of seeking, with increasing numbers.
+ * Leases of several daemons, assigned in the order of requests, with increasing numbers.
  */
 final class FakeLeases {
 
@@ -19,9 +19,9 @@
 
 	private final Map<String, Long> numbers = new HashMap<>();
 
-	private final Map<String, Seeker> holders = new HashMap<>();
+	private final Map<String, Candidate> holders = new HashMap<>();
 
-	private final Map<String, Map<VmId, Seeker>> seekers = new HashMap<>();
+	private final Map<String, Map<VmId, Candidate>> candidates = new HashMap<>();
 
 	private boolean down;
 
@@ -44,12 +44,12 @@
 
 	void endOutage() {
 		this.down = false;
-		this.seekers.keySet().forEach(this::assign);
+		this.candidates.keySet().forEach(this::assign);
 	}
 
 	/** Removes a crashed VM and passes its leases on without notifying it. */
 	void removeVm(VmId vm) {
-		this.seekers.forEach((name, waiting) -> waiting.remove(vm));
+		this.candidates.forEach((name, waiting) -> waiting.remove(vm));
 		Map.copyOf(this.holders).forEach((name, holder) -> {
 			if (holder.vm.equals(vm)) {
 				this.holders.remove(name);
@@ -62,7 +62,7 @@
 	 * Makes the leases of a VM that can't reach the platform lapse and passes them on.
 	 */
 	void expire(VmId vm) {
-		this.seekers.values().forEach((waiting) -> waiting.remove(vm));
+		this.candidates.values().forEach((waiting) -> waiting.remove(vm));
 		Map.copyOf(this.holders).forEach((name, holder) -> {
 			if (holder.vm.equals(vm)) {
 				this.holders.remove(name);
@@ -73,15 +73,15 @@
 	}
 
 	Optional<VmId> holder(String name) {
-		return Optional.ofNullable(this.holders.get(name)).map((seeker) -> seeker.vm);
+		return Optional.ofNullable(this.holders.get(name)).map((candidate) -> candidate.vm);
 	}
 
 	private void assign(String name) {
-		Map<VmId, Seeker> waiting = this.seekers.getOrDefault(name, Map.of());
+		Map<VmId, Candidate> waiting = this.candidates.getOrDefault(name, Map.of());
 		if (this.down || this.holders.containsKey(name) || waiting.isEmpty()) {
 			return;
 		}
-		Seeker next = waiting.values().iterator().next();
+		Candidate next = waiting.values().iterator().next();
 		this.holders.put(name, next);
 		next.number = this.numbers.merge(name, 1L, Long::sum);
 		this.scheduler.execute(() -> {
@@ -101,15 +101,15 @@
 
 		@Override
 		public void acquire(String name, LeaseListener listener) {
-			FakeLeases.this.seekers.computeIfAbsent(name, (key) -> new LinkedHashMap<>())
-				.put(this.vm, new Seeker(name, this.vm, listener));
+			FakeLeases.this.candidates.computeIfAbsent(name, (key) -> new LinkedHashMap<>())
+				.put(this.vm, new Candidate(name, this.vm, listener));
 			assign(name);
 		}
 
 		@Override
 		public void release(String name) {
-			FakeLeases.this.seekers.getOrDefault(name, new HashMap<>()).remove(this.vm);
-			Seeker holder = FakeLeases.this.holders.get(name);
+			FakeLeases.this.candidates.getOrDefault(name, new HashMap<>()).remove(this.vm);
+			Candidate holder = FakeLeases.this.holders.get(name);
 			if (holder != null && holder.vm.equals(this.vm)) {
 				FakeLeases.this.holders.remove(name);
 				assign(name);
@@ -123,7 +123,7 @@
 
 	}
 
-	private final class Seeker implements Lease {
+	private final class Candidate implements Lease {
 
 		private final String name;
 
@@ -133,7 +133,7 @@
 
 		private long number;
 
-		private Seeker(String name, VmId vm, Leases.LeaseListener listener) {
+		private Candidate(String name, VmId vm, Leases.LeaseListener listener) {
 			this.name = name;
 			this.vm = vm;
 			this.listener = listener;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/peer/PeerConnectionsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/peer/PeerConnectionsTests.java
@@ -51,7 +51,7 @@
 
 	@Test
 	void greaterNameDialsIfTheSmallerDoesNot() {
-		this.directoryOfA.wanted.clear();
+		this.directoryOfA.desired.clear();
 		advance(Duration.ofMillis(2_900));
 		Truth.assertThat(this.b.dials).isEmpty();
 		advance(Duration.ofSeconds(1));
@@ -62,7 +62,7 @@
 	@Test
 	void failedDialsBackOffUpToTheMaximum() {
 		this.a.unreachable.add("b");
-		this.directoryOfB.wanted.clear();
+		this.directoryOfB.desired.clear();
 		advance(Duration.ofSeconds(10));
 		int first = this.a.dials.size();
 		Truth.assertThat(first).isIn(Range.closed(5, 9));
@@ -163,7 +163,7 @@
 	void handshakeOfAnEarlierIncarnationIsRejected() {
 		FakeLinks.Node restarted = start("a", 2, this.directoryOfA);
 		advance(Duration.ofSeconds(1));
-		this.directoryOfA.wanted.clear();
+		this.directoryOfA.desired.clear();
 		this.a.connect(this.b, false);
 		advance(Duration.ofSeconds(1));
 		Truth.assertThat(this.a.openLinks()).isEmpty();
@@ -172,8 +172,8 @@
 
 	@Test
 	void messagesToAnUnconnectedVmArePendingUntilItsConnectionIsOpen() {
-		this.directoryOfA.wanted.clear();
-		this.directoryOfB.wanted.clear();
+		this.directoryOfA.desired.clear();
+		this.directoryOfB.desired.clear();
 		Truth.assertThat(this.a.connections.send(B, new byte[] { 1 })).isTrue();
 		Truth.assertThat(this.a.connections.send(B, new byte[] { 2 })).isTrue();
 		advance(Duration.ofSeconds(1));
@@ -253,15 +253,15 @@
 
 	private static final class Directory implements PeerDirectory {
 
-		private final Set<VmId> wanted = new HashSet<>();
+		private final Set<VmId> desired = new HashSet<>();
 
-		private Directory(VmId wanted) {
-			this.wanted.add(wanted);
+		private Directory(VmId desired) {
+			this.desired.add(desired);
 		}
 
 		@Override
 		public Set<VmId> desiredPeers() {
-			return this.wanted;
+			return this.desired;
 		}
 
 		@Override
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/peer/TcpPeerNetworkTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/peer/TcpPeerNetworkTests.java
@@ -101,7 +101,7 @@
 	void peerWithAWrongKeyIsDisconnected() throws Exception {
 		Daemon a = daemon("a", KEY);
 		Daemon b = daemon("b", OTHER_KEY);
-		b.addWanted("a");
+		b.addDesired("a");
 		a.awaitCount("peer.cut-off.wrong-key");
 		Truth.assertThat(a.callOnLoop(() -> a.network.connected())).isEmpty();
 		Truth.assertThat(a.count("peer.connections.opened")).isEqualTo(0);
@@ -163,7 +163,7 @@
 		try (ServerSocket listener = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
 			this.addresses.put(new VmId("b"), "127.0.0.1:" + listener.getLocalPort());
 			Daemon a = daemon("a", KEY);
-			a.addWanted("b");
+			a.addDesired("b");
 			try (RawPeer silent = new RawPeer(CODEC, KEY, listener.accept())) {
 				Truth.assertThat(silent.handshake(identity("b"), null).replacing()).isFalse();
 				try (RawPeer second = new RawPeer(CODEC, KEY, listener.accept())) {
@@ -253,7 +253,7 @@
 
 		private final TcpPeerNetwork network;
 
-		private final Set<VmId> wanted = ConcurrentHashMap.newKeySet();
+		private final Set<VmId> desired = ConcurrentHashMap.newKeySet();
 
 		private final BlockingQueue<String> notes = new LinkedBlockingQueue<>();
 
@@ -266,11 +266,11 @@
 					(from, note) -> this.notes.add(from + " " + note.number() + " " + note.value().length));
 			TcpPeerNetworkTests.this.toClose.add(this.network);
 			TcpPeerNetworkTests.this.toClose.add(this.loop);
-			this.port = this.network.start(new Directory(this.wanted));
+			this.port = this.network.start(new Directory(this.desired));
 		}
 
-		private void addWanted(String vm) {
-			this.wanted.add(new VmId(vm));
+		private void addDesired(String vm) {
+			this.desired.add(new VmId(vm));
 		}
 
 		private void send(String vm, Note note) throws Exception {
@@ -299,15 +299,15 @@
 
 	private final class Directory implements PeerDirectory {
 
-		private final Set<VmId> wanted;
+		private final Set<VmId> desired;
 
-		private Directory(Set<VmId> wanted) {
-			this.wanted = wanted;
+		private Directory(Set<VmId> desired) {
+			this.desired = desired;
 		}
 
 		@Override
 		public Set<VmId> desiredPeers() {
-			return this.wanted;
+			return this.desired;
 		}
 
 		@Override
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/request/attempt/RetryBudgetTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/request/attempt/RetryBudgetTests.java
@@ -23,7 +23,7 @@
 		int retries = 0;
 		for (int request = 0; request < 1000; request++) {
 			this.budget.firstAttempt();
-			retries += take() + take();
+			retries += tryAcquire() + tryAcquire();
 		}
 		Truth.assertThat(retries).isIn(Range.closed(100, 110));
 	}
@@ -32,14 +32,14 @@
 	void allowsLimitedRetriesWithoutTraffic() {
 		int atOnce = 0;
 		for (int attempt = 0; attempt < 100; attempt++) {
-			atOnce += take();
+			atOnce += tryAcquire();
 		}
 		Truth.assertThat(atOnce).isEqualTo(10);
 		this.clock.advance(Duration.ofSeconds(2));
-		Truth.assertThat(take() + take()).isEqualTo(1);
+		Truth.assertThat(tryAcquire() + tryAcquire()).isEqualTo(1);
 	}
 
-	private int take() {
+	private int tryAcquire() {
 		return (this.budget.tryAcquire()) ? 1 : 0;
 	}
 
--- a/standins/src/test/java/org/bramleyscale/standins/platform/LeaseCluster.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/LeaseCluster.java
@@ -17,8 +17,8 @@
 import org.bramleyscale.internal.time.ManualScheduler;
 
 /**
- * Several lease managers that share one platform and a manual clock and seek the same
- * lease.
+ * Several lease managers that share one platform and a manual clock and try to acquire
+ * the same lease.
  *
  * <p>
  * Whenever time advances it checks that at most one of them holds the lease, and that the
@@ -75,12 +75,12 @@
 	}
 
 	/**
-	 * Lets the first daemon take the lease, then lets the others seek it.
+	 * Lets the first daemon acquire the lease, then lets the others try to.
 	 * @return this cluster
 	 */
 	LeaseCluster started() {
 		for (Daemon daemon : this.daemons) {
-			daemon.seek();
+			daemon.acquire();
 			advance(Duration.ofMillis(100));
 		}
 		Truth.assertThat(holders()).containsExactly(daemon(0));
@@ -135,7 +135,7 @@
 			return this.events;
 		}
 
-		void seek() {
+		void acquire() {
 			this.manager.acquire(LEASE, this);
 		}
 
--- a/standins/src/test/java/org/bramleyscale/standins/platform/LeaseTests.java
+++ b/standins/src/test/java/org/bramleyscale/standins/platform/LeaseTests.java
@@ -44,10 +44,10 @@
 	}
 
 	@Test
-	void seeksAgainAfterRelease() {
+	void acquiresAgainAfterRelease() {
 		LeaseCluster cluster = new LeaseCluster(1).started();
 		cluster.daemon(0).manager().release(LeaseCluster.LEASE);
-		cluster.daemon(0).seek();
+		cluster.daemon(0).acquire();
 		cluster.advance(LEASE_TIME);
 		Truth.assertThat(cluster.holders()).containsExactly(cluster.daemon(0));
 		Truth.assertThat(cluster.numbers()).hasSize(2);
@@ -61,10 +61,10 @@
 		// Cause: the late reply is not handled, so the lease is not given back.
 		LeaseCluster cluster = new LeaseCluster(2);
 		inject(cluster, PlatformFault.Kind.SLOW_REPLY, PlatformOperation.WRITE, 1, Duration.ofSeconds(1));
-		cluster.daemon(0).seek();
+		cluster.daemon(0).acquire();
 		cluster.advance(Duration.ofMillis(500));
 		cluster.daemon(0).manager().release(LeaseCluster.LEASE);
-		cluster.daemon(1).seek();
+		cluster.daemon(1).acquire();
 		cluster.advance(LEASE_TIME.dividedBy(2));
 		Truth.assertThat(cluster.holders()).containsExactly(cluster.daemon(1));
 	}
@@ -89,13 +89,13 @@
 
 	@Test
 	void oneOfManyClaimantsWins() {
-		// Symptom: two daemons both consider the lease taken by themselves.
+		// Symptom: two daemons both believe that they acquired the lease.
 		// Sequence: all daemons start at the same time, or see the lease expire at the
 		// same time.
 		// Cause: reading and writing the lease are two separate calls.
 		LeaseCluster cluster = new LeaseCluster(7);
 		for (int daemon = 0; daemon < 7; daemon++) {
-			cluster.daemon(daemon).seek();
+			cluster.daemon(daemon).acquire();
 		}
 		cluster.advance(Duration.ofSeconds(1));
 		Truth.assertThat(cluster.holders()).hasSize(1);
@@ -114,7 +114,7 @@
 		// Cause: the daemon does not know that it holds the lease.
 		LeaseCluster cluster = new LeaseCluster(1);
 		inject(cluster, kind, PlatformOperation.WRITE, 1, Duration.ofSeconds(5));
-		cluster.daemon(0).seek();
+		cluster.daemon(0).acquire();
 		cluster.advance(Duration.ofSeconds(3));
 		Truth.assertThat(cluster.daemon(0).events()).containsExactly("taken 1");
 	}
@@ -150,7 +150,7 @@
 
 	@Test
 	void doesNotHoldALeaseWhoseRenewalReplyComesAfterTheExpiry() {
-		// Symptom: a daemon acts under a lease that others may have taken.
+		// Symptom: a daemon acts under a lease that others may have acquired.
 		// Sequence: the platform is so slow that the reply to a successful renewal
 		// arrives after the expiry.
 		// Cause: the reply describes an earlier state.
@@ -173,7 +173,7 @@
 		// Cause: the reply describes an earlier state.
 		LeaseCluster cluster = new LeaseCluster(1, LEASE_TIME.multipliedBy(2));
 		inject(cluster, PlatformFault.Kind.SLOW_REPLY, PlatformOperation.WRITE, 1, LEASE_TIME);
-		cluster.daemon(0).seek();
+		cluster.daemon(0).acquire();
 		cluster.advance(LEASE_TIME.multipliedBy(2));
 		Truth.assertThat(cluster.daemon(0).holds()).isTrue();
 		Truth.assertThat(cluster.daemon(0).events()).containsExactly("taken 2");
@@ -198,7 +198,7 @@
 		// Symptom: two daemons hold the lease after the platform recovers, or one acts
 		// during the outage although it cannot know whether it still holds the lease.
 		// Sequence: the platform is unavailable for longer than the lease duration.
-		// Cause: no daemon can renew or take the lease.
+		// Cause: no daemon can renew or acquire the lease.
 		LeaseCluster cluster = new LeaseCluster(2).started();
 		inject(cluster, kind, null, 0, Duration.ZERO);
 		cluster.advance(LEASE_TIME);
