--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/EndpointNotices.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/EndpointNotices.java
@@ -1,7 +1,7 @@
 package org.bramleyscale.internal.gateway.backend;
 
 /**
- * Applies the notices in endpoints' answers.
+ * Applies the notices in endpoints' answers, whatever request they answer.
  *
  * <p>
  * Limits in notices aren't handled here: they count only in answers to requests that ran.
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/FleetPresence.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/backend/FleetPresence.java
@@ -31,7 +31,8 @@
 	private final FleetGossip<LeavingUpdate> gossip;
 
 	/**
-	 * Creates the presence and starts to exchange it with peers.
+	 * Creates an instance and starts to exchange announcements of leaving endpoints with
+	 * peers.
 	 * @param scheduler the daemon's scheduler
 	 * @param network the connections to peers
 	 * @param routes the peers that updates are sent to
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/CrashExchange.java
@@ -20,11 +20,12 @@
  * Exchanges crash reports with peers.
  *
  * <p>
- * Three crashes may be seen by three different daemons, and every daemon must know of all
- * three. A daemon broadcasts new reports at once, along the same routes as updates from
- * the store. In addition it repeats the crashes of the requests with the most crashes to
- * one peer after another, for peers that have just started or missed a message. Confined
- * to the scheduler's thread.
+ * The three crashes after which a request is sent only as a trial may be seen by three
+ * different daemons, and every daemon must know of all three. A daemon broadcasts new
+ * reports at once, along the same routes as updates from the store. In addition it
+ * repeats the crashes of the requests with the most crashes to one peer after another,
+ * for peers that have just started or missed a message. Confined to the scheduler's
+ * thread.
  */
 final class CrashExchange implements FleetGossip.State<CrashUpdate> {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/Verdict.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/crash/Verdict.java
@@ -1,8 +1,7 @@
 package org.bramleyscale.internal.gateway.crash;
 
 /**
- * Decides whether a daemon may send a request, based on the crashes of endpoints that ran
- * it.
+ * Whether a daemon may send a request, judged by the crashes of endpoints that ran it.
  */
 public enum Verdict {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/FleetLimits.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/limit/FleetLimits.java
@@ -45,7 +45,7 @@
 	 * @param scheduler the daemon's scheduler
 	 * @param network the connections to peers
 	 * @param routes the peers that updates are sent to
-	 * @param holders the order of daemons in which they use a limit
+	 * @param holders ranks the daemons as holders of a limit
 	 * @param log the decision log
 	 * @param metrics the metric registry
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadExchange.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadExchange.java
@@ -25,10 +25,10 @@
  *
  * <p>
  * The quality of placement depends on how recent a daemon's view of its peers' load is:
- * with 172 engines and 95 daemons, 0.83 of the requested worth was earned when updates
- * took 250 ms, and 0.91 when they took 100 ms (the experiment hire-desk-large). Therefore
- * a daemon sends an update as soon as work begins or ends, after a short delay that
- * combines several changes.
+ * with 172 engines and 95 daemons, callers received 0.83 of the value of timely answers
+ * when updates took 250 ms, and 0.91 when they took 100 ms (the experiment
+ * hire-desk-large). Therefore a daemon sends an update as soon as work begins or ends,
+ * after a short delay that combines several changes.
  *
  * <p>
  * In a small fleet each daemon sends its updates to all others. In a large fleet that
@@ -49,14 +49,14 @@
 
 	/**
 	 * The interval between the sums of a relay. A small machine has 14 Mbit/s; with 72
-	 * endpoints a sum has 3 KB, and a relay with 27 peers that sent one each 50 ms used
+	 * endpoints a sum has 3 KB, and a relay with 27 peers that sent one every 50 ms used
 	 * 10 Mbit/s of that. Its messages, configurations among them, queued for seconds.
 	 */
 	static final Duration SUM_INTERVAL = Duration.ofMillis(200);
 
 	/**
-	 * One of so many sums is full. At least one full sum falls within the time in which a
-	 * peer's load expires.
+	 * One in this many sums is full. At least one full sum falls within the time in which
+	 * a peer's load expires.
 	 */
 	private static final int FULL_SUM_PERIOD = 3;
 
@@ -209,7 +209,7 @@
 		}
 		long now = this.scheduler.nanos();
 		List.of(this.memberLoads, this.relayLoads, this.dataCentreLoads)
-			.forEach((works) -> works.values().removeIf((load) -> load.expired(LoadTracker.PEER_EXPIRY, now)));
+			.forEach((bySource) -> bySource.values().removeIf((load) -> load.expired(LoadTracker.PEER_EXPIRY, now)));
 		LoadSum sum = new LoadSum();
 		Map<String, Long> included = new HashMap<>();
 		this.memberLoads.forEach((vm, load) -> {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadTracker.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/LoadTracker.java
@@ -23,7 +23,7 @@
  */
 public final class LoadTracker {
 
-	/** A peer's load expires after this; ten updates may be lost before. */
+	/** A peer's load expires after this; ten updates may be lost before that. */
 	static final Duration PEER_EXPIRY = Duration.ofMillis(1_000);
 
 	/**
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/UnresponsivePeers.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/load/UnresponsivePeers.java
@@ -77,8 +77,8 @@
 
 	/**
 	 * Restarts the timeouts of all peers if this process was paused. Updates that arrived
-	 * during the pause have not been processed yet, and a daemon that took all its peers
-	 * for unresponsive would name only itself to callers. To be called at least once in
+	 * during the pause have not been processed yet, and a daemon that considered all its
+	 * peers unresponsive would name only itself to callers. To be called at least once in
 	 * each {@link LoadExchange#UPDATE_INTERVAL}.
 	 */
 	void restartTimeoutsAfterPause() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacementTuning.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlacementTuning.java
@@ -8,8 +8,9 @@
  * Daemons use {@link #DEFAULT}. Experiments change one value or disable one mechanism.
  * The differences given for each value are in the mean worth over three mixes of requests
  * on modelled engines (forecasts, hire-desk, departure-boards; 30 seeds each, paired),
- * where 0.01 is about the width of the 95 % interval. Immutable and safe for use by
- * multiple threads.
+ * where 0.01 is about the width of the 95 % interval. Worth is the value of the answers
+ * that callers received, late ones counting less or nothing, as a share of the value if
+ * all answers were in time. Immutable and safe for use by multiple threads.
  */
 public final class PlacementTuning {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlainPlacement.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/PlainPlacement.java
@@ -33,8 +33,8 @@
 	private static final double FAILURE_PENALTY = 2;
 
 	/**
-	 * Score of an endpoint in another data centre, equal to a twentieth of the slots: the
-	 * additional latency is at most 2 ms.
+	 * What another data centre adds to an endpoint's score, as much as a twentieth of its
+	 * slots in use: the additional latency is at most 2 ms.
 	 */
 	private static final double REMOTE_PENALTY = 0.05;
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/package-info.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/placement/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Chooses the endpoint or the group of engines for each relayed request.
+ * Chooses the endpoint or the group of engines for each forwarded request.
  */
 package org.bramleyscale.internal.gateway.placement;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/BackendTableTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/backend/BackendTableTests.java
@@ -96,7 +96,7 @@
 	void entriesWithoutStartTimeAreLeftOutWhereMostHaveOne(int withStart, int withoutStart, int usable) {
 		// Guards against sending requests to an address at which no endpoint of the
 		// platform listens: an entry written by another program lacks only the start
-		// time, and was taken for one of an older platform, which provides none.
+		// time, and was treated as an entry of an older platform, which provides none.
 		for (int i = 0; i < withStart; i++) {
 			this.table.put(started("with-start-" + i, 1_000));
 		}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashingRequestTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/crash/CrashingRequestTests.java
@@ -126,7 +126,7 @@
 		Truth.assertThat(callers.stream().filter(SimulatedCaller::suspected).count()).isEqualTo(0);
 	}
 
-	/** Guards against taking connection resets for crashes. */
+	/** Guards against treating connection resets as crashes. */
 	@Test
 	void connectionResetsAreNotCrashes() {
 		GatewayFleet fleet = new GatewayFleet(9, ENDPOINTS, 4);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/limit/LimitFaultsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/limit/LimitFaultsTests.java
@@ -42,7 +42,7 @@
 		boolean restarts = random.nextBoolean();
 		fleet.setMessageLoss(random.nextBoolean() ? 0.3 : 0);
 		SimulatedEndpoint endpoint = fleet.limit(3, OptionalDouble.of(perSecond));
-		boolean names = true;
+		boolean limited = true;
 		int calls = 0;
 		for (long millis = 0; millis < END; millis += 20) {
 			for (int i = 0; i < callsPerSecond; i++) {
@@ -54,8 +54,8 @@
 				fleet.restart(random.nextInt(fleet.daemons.size()));
 			}
 			if (random.nextInt(700) == 0) {
-				names = !names;
-				fleet.limit(3, names ? OptionalDouble.of(perSecond) : OptionalDouble.empty());
+				limited = !limited;
+				fleet.limit(3, limited ? OptionalDouble.of(perSecond) : OptionalDouble.empty());
 			}
 			fleet.scheduler.advance(Duration.ofMillis(20));
 		}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/LoadExchangeTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/LoadExchangeTests.java
@@ -58,14 +58,14 @@
 
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void theWorkOfADeadDaemonExpires(boolean flat) {
+	void theWorkOfACrashedDaemonExpires(boolean flat) {
 		// Guards against engines that look busy for ever: a daemon with work is killed,
 		// and relays must not keep its last update in their sums.
 		start(flat, 4);
-		Daemon dead = this.fleet.get(new VmId("dc1-3"));
-		dead.loads.begin(ENGINE, 0, 100, true, 250);
+		Daemon crashed = this.fleet.get(new VmId("dc1-3"));
+		crashed.loads.begin(ENGINE, 0, 100, true, 250);
 		this.scheduler.advance(Duration.ofMillis(900));
-		dead.alive = false;
+		crashed.alive = false;
 		this.scheduler.advance(Duration.ofMillis(2_600));
 		this.fleet.values()
 			.stream()
@@ -147,7 +147,7 @@
 
 	@Test
 	void changesInALostMessageAreSentAgain() {
-		// Guards against a daemon that takes an engine for idle or busy for ever: the
+		// Guards against a daemon that considers an engine idle or busy for ever: the
 		// message with a change is lost with its connection, and the next one contains
 		// only later changes.
 		start(false, 4);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/UnresponsivePeersTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/load/UnresponsivePeersTests.java
@@ -32,7 +32,7 @@
 	}
 
 	@Test
-	void aDaemonThatWasFrozenDoesNotTakeItsPeersForUnresponsive() {
+	void aDaemonThatWasFrozenDoesNotConsiderItsPeersUnresponsive() {
 		// Guards against all callers being sent to one daemon: that daemon freezes for
 		// four seconds and is asked for addresses on waking, before it has processed the
 		// updates of its peers.
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/placement/EnginePlacementTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/placement/EnginePlacementTests.java
@@ -58,7 +58,7 @@
 	private final LoadTracker loads = new LoadTracker(this.scheduler);
 
 	/** Engines whose rate limit is exhausted for this daemon. */
-	private final Set<EndpointStart> closed = new HashSet<>();
+	private final Set<EndpointStart> exhausted = new HashSet<>();
 
 	private final DemandTracker demands = new DemandTracker(this.scheduler);
 
@@ -83,9 +83,9 @@
 
 	@Test
 	void longPromptsStayInTheirLane() {
-		// Guards against long prompts that delay all short answers by half a second: a
-		// manual arrives while 155 short answers are generated, and its prefill is spread
-		// over all engines.
+		// Guards against long prompts that delay all short answers by half a second: one
+		// arrives while 155 short answers are generated, and its prefill is spread over
+		// all engines.
 		shortRequests(155);
 		Placement placed = place(182_000);
 		Set<EndpointStart> used = new HashSet<>();
@@ -142,7 +142,7 @@
 	 */
 	@Test
 	void enginesWithARateLimitBelongToNoLane() {
-		this.closed.addAll(Set.of(id(0), id(1), id(2), id(20)));
+		this.exhausted.addAll(Set.of(id(0), id(1), id(2), id(20)));
 		Set<EndpointStart> used = new HashSet<>();
 		for (int i = 0; i < 30; i++) {
 			Placement placed = place(5_000);
@@ -150,13 +150,13 @@
 			this.loads.begin(placed.target().get().start(), placed.prefillMillis(), 6_000, true, 250);
 		}
 		Truth.assertThat(used).containsExactly(id(3), id(4), id(5), id(6));
-		Truth.assertThat(place(182_000).target().orElseThrow().start()).isNotIn(this.closed);
+		Truth.assertThat(place(182_000).target().orElseThrow().start()).isNotIn(this.exhausted);
 	}
 
 	@Test
 	void requestsAreRefusedWithARetryDelayIfAllLimitsAreReached() {
 		for (int i = 0; i < 21; i++) {
-			this.closed.add(id(i));
+			this.exhausted.add(id(i));
 		}
 		Placement placed = place(5_000);
 		Truth.assertThat(placed.reason()).isEqualTo("limits of endpoints reached");
@@ -216,8 +216,8 @@
 	@CsvSource({ "250, 140000, false", "250, 182000, true", "1000, 182000, false", "1000, 350000, false",
 			"1000, 600000, true" })
 	void longPromptsWaitWhileTheyWouldDelayStreams(int pause, long tokens, boolean waits) {
-		// Guards against long pauses in answers whose first event was in time: the mix
-		// turns to long prompts while short answers are generated, the long lane takes
+		// Guards against long pauses in answers whose first event was in time: the load
+		// shifts to long prompts while short answers are generated, the long lane takes
 		// engines that still generate them, and each part of a prompt lengthens the
 		// pauses of all streams there.
 		for (int i = 0; i < 21; i++) {
@@ -244,9 +244,9 @@
 
 	@Test
 	void aVeryLongPromptWaitsForMoreThanOneIdleEngine() {
-		// Guards against a manual of 600,000 tokens that never gets its first event: all
-		// engines but one generate answers to manuals, and the idle one, which has room
-		// for any length, would take thirty seconds for it alone.
+		// Guards against a prompt of 600,000 tokens that never gets its first event: all
+		// engines but one generate answers to long prompts, and the idle one, which has
+		// room for any length, would take thirty seconds for it alone.
 		for (int i = 0; i < 20; i++) {
 			this.loads.begin(id(i), 0, 6_000, true, 1_000).prefillDone();
 		}
@@ -344,7 +344,7 @@
 
 		@Override
 		public boolean limited(EndpointStart endpoint) {
-			return EnginePlacementTests.this.closed.contains(endpoint);
+			return EnginePlacementTests.this.exhausted.contains(endpoint);
 		}
 
 		@Override
