--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FleetGossip.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FleetGossip.java
@@ -35,7 +35,7 @@
 	private int nextPeer;
 
 	/**
-	 * Creates the exchange, which starts to listen and to send digests.
+	 * Starts to listen for messages of peers and to send digests.
 	 * @param scheduler the daemon's scheduler
 	 * @param network the connections to the peers
 	 * @param routes the recipients of updates
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FollowTimes.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/FollowTimes.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * The time-outs and intervals by which a fleet follows the store.
+ * The timeouts and intervals by which a fleet follows the store.
  *
  * <p>
  * Immutable and safe for use by multiple threads.
@@ -24,7 +24,7 @@
 
 	private static final Duration COALESCE = Duration.ofMillis(200);
 
-	/** For objects of which daemons exchange digests by other means. */
+	/** For objects whose essential content daemons also exchange by other messages. */
 	public static final FollowTimes RELAXED = new FollowTimes(Duration.ofSeconds(20), COALESCE, Duration.ofSeconds(30),
 			Duration.ofSeconds(4));
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/ObjectCopies.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/ObjectCopies.java
@@ -25,7 +25,7 @@
 	/**
 	 * The most tombstones kept: some minutes of deletions when a whole fleet is replaced.
 	 */
-	private static final int MAX_DELETIONS = 20_000;
+	private static final int MAX_TOMBSTONES = 20_000;
 
 	/**
 	 * A time so far in the past that no other precedes it; differences to it do not
@@ -43,7 +43,7 @@
 
 	private long confirmedAt = NEVER;
 
-	private int deletions;
+	private int tombstones;
 
 	public ObjectCopies(Listener listener) {
 		this.listener = listener;
@@ -160,16 +160,16 @@
 		this.copies.put(object.name(), object);
 		this.lastChange = Math.max(this.lastChange, object.revision());
 		if (object.deleted()) {
-			this.deletions++;
-			purgeDeletions();
+			this.tombstones++;
+			purgeTombstones();
 		}
 		this.listener.changed(object);
 	}
 
-	private void purgeDeletions() {
-		if (this.deletions > MAX_DELETIONS) {
+	private void purgeTombstones() {
+		if (this.tombstones > MAX_TOMBSTONES) {
 			this.copies.values().removeIf(ObjectCopy::deleted);
-			this.deletions = 0;
+			this.tombstones = 0;
 		}
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/PeerCopies.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/PeerCopies.java
@@ -97,8 +97,8 @@
 		this.kinds = Map.copyOf(kinds);
 		this.routes = routes;
 		this.log = log;
-		this.delays = new QueueingDelays(self, scheduler, (peer, queue, waitedMillis) -> log.belief("copies", "news",
-				"queue", queue, "from", peer, "waited_ms", waitedMillis));
+		this.delays = new QueueingDelays(self, scheduler, (peer, queueing, waitedMillis) -> log.belief("copies", "news",
+				"queue", queueing, "from", peer, "waited_ms", waitedMillis));
 		this.lastReceivedAt = scheduler.nanos();
 		this.lastOutageAt = scheduler.nanos() - Duration.ofDays(1).toNanos();
 		network.listen(CopiesDigest.class, this::receiveDigest);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/QueueingDelays.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/QueueingDelays.java
@@ -17,10 +17,10 @@
  * The monotonic clocks of two processes are unrelated. But when a peer echoes the
  * timestamp of the last message that it received from this daemon, and states for how
  * long it has held it, the rest of the time since then is the round trip. So its clock is
- * behind this one by at least the difference of the timestamps of the peer's message less
- * the whole round trip. The greatest such lower bound of the clock offset comes from the
- * quickest exchange, and every other message was delayed by no more than its difference
- * of timestamps exceeds the bound.
+ * behind this one by at least the difference between the arrival of the peer's message,
+ * by this clock, and its sending, by the peer's, less the whole round trip. The greatest
+ * such lower bound of the clock offset comes from the quickest exchange, and no message
+ * was delayed by more than the amount by which its own difference exceeds the bound.
  *
  * <p>
  * Invariants: the estimate is never less than the actual delay of a message, as long as
@@ -136,10 +136,10 @@
 		/**
 		 * Called on the scheduler's thread.
 		 * @param from the peer
-		 * @param queue whether its messages queue now
+		 * @param queueing whether its messages queue now
 		 * @param waitedMillis the delay of the last message
 		 */
-		void queueChanged(Incarnation from, boolean queue, long waitedMillis);
+		void queueChanged(Incarnation from, boolean queueing, long waitedMillis);
 
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/StoreFollower.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/follow/StoreFollower.java
@@ -24,7 +24,7 @@
  *
  * <p>
  * The store is at times down, slow or without its history. Each call ends within a
- * time-out of the adapter; after lost history the follower lists all objects again. After
+ * timeout of the adapter; after lost history the follower lists all objects again. After
  * a failure the watchers retry soon, and with short calls until the store answers, since
  * on a silent connection a watch blocks for its whole length. The others retry at a
  * steady interval, which bounds their delay once the store is available again even if no
@@ -49,7 +49,8 @@
 	static final Duration MIN_BACKOFF = Duration.ofMillis(50);
 
 	/**
-	 * The longest pause of a watcher, since expired entries are evaluated in two seconds.
+	 * The longest pause of a watcher. Entries that expired in an outage are removed two
+	 * seconds later unless the watcher has seen them return by then.
 	 */
 	static final Duration MAX_BACKOFF = Duration.ofMillis(400);
 
@@ -76,7 +77,7 @@
 	 */
 	private static final int JITTER_DIVISOR = 8;
 
-	/** The delay of each next rank, since updates need some ms to propagate. */
+	/** How much later each next rank queries, since updates need some ms to propagate. */
 	private static final Duration RANK_DELAY = Duration.ofMillis(100);
 
 	/**
@@ -130,7 +131,7 @@
 	 * @param store the store
 	 * @param copies updated with the store's answers
 	 * @param order the daemon's rank in the order of calls
-	 * @param times the intervals and time-outs
+	 * @param times the intervals and timeouts
 	 * @param log takes a line when the store becomes unavailable and when it is available
 	 * again
 	 */
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/EntryList.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/EntryList.java
@@ -108,7 +108,7 @@
 		VmId self = this.membership.self().vm();
 		for (Member member : this.membership.eligible()) {
 			if (!member.vm().equals(self)) {
-				boolean alive = member.state() == Member.State.ALIVE && !isUnresponsive(member.vm());
+				boolean alive = member.state() == Member.State.ALIVE && !isDisconnectedOrUnresponsive(member.vm());
 				(alive ? reachable : suspects).add(member);
 			}
 		}
@@ -174,7 +174,7 @@
 		return addresses.subList(0, Math.min(MAX_ADDRESSES, addresses.size()));
 	}
 
-	private boolean isUnresponsive(VmId vm) {
+	private boolean isDisconnectedOrUnresponsive(VmId vm) {
 		Long lastSeen = this.lastConnected.get(vm);
 		boolean connectionLost = lastSeen != null && this.clock.nanos() - lastSeen > RECONNECT_GRACE.toNanos();
 		return connectionLost || this.view.unresponsive(vm);
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/EntrySelection.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/EntrySelection.java
@@ -18,10 +18,10 @@
  * Daemons place requests by what they know of each other's load, and the updates of a few
  * daemons arrive sooner than those of many. On simulated engines (hire-desk-shifted, 6
  * seeds) 91 daemons that exchange their load through sums after 200 ms earn 0.949 of the
- * worth, six that exchange it within 25 ms 0.984. A large VM is also available sooner
- * after an outage of all: a start takes 0.9 s of a core, which is 0.6 s on 1.5 cores and
- * 2.5 s on 0.36. Daemons that aren't selected still serve every request that they
- * receive.
+ * worth of all requests, six that exchange it within 25 ms 0.984. A large VM is also
+ * available sooner after an outage of all: a start takes 0.9 s of a core, which is 0.6 s
+ * on 1.5 cores and 2.5 s on 0.36. Daemons that aren't selected still serve every request
+ * that they receive.
  *
  * <p>
  * In a large fleet relays are preferred, since they exchange updates directly; in a small
@@ -53,7 +53,7 @@
 	 */
 	static final int HEADROOM = 3;
 
-	private static final String KEY = "entry";
+	private static final String HASH_KEY = "entry";
 
 	private static final RendezvousHash<Member> HASH = new RendezvousHash<>((member) -> member.vm().value());
 
@@ -104,7 +104,7 @@
 	 * @return the daemons, the largest first
 	 */
 	private static List<Member> ranked(Collection<Member> members) {
-		List<Member> ranked = new ArrayList<>(HASH.ranked(KEY, members));
+		List<Member> ranked = new ArrayList<>(HASH.ranked(HASH_KEY, members));
 		ranked.sort(Comparator.comparingInt(EntrySelection::sizeClass).reversed());
 		return ranked;
 	}
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetStatus.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/FleetStatus.java
@@ -20,7 +20,7 @@
  * Converts this daemon's state of daemons and endpoints to the records of the status.
  *
  * <p>
- * Confined to the loop's thread.
+ * Confined to the scheduler's thread.
  */
 final class FleetStatus {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewaySettings.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/GatewaySettings.java
@@ -47,7 +47,7 @@
 	 * @param address the address
 	 * @return {@code host:port}
 	 */
-	static String text(InetSocketAddress address) {
+	static String formatAddress(InetSocketAddress address) {
 		return address.getHostString() + ":" + address.getPort();
 	}
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/PeerSetup.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/PeerSetup.java
@@ -50,8 +50,9 @@
 	}
 
 	PeerIdentity identity() {
-		return new PeerIdentity(this.self, this.settings.dataCentre(), GatewaySettings.text(this.settings.peers()),
-				GatewaySettings.text(this.settings.callers()), this.settings.capacity());
+		return new PeerIdentity(this.self, this.settings.dataCentre(),
+				GatewaySettings.formatAddress(this.settings.peers()),
+				GatewaySettings.formatAddress(this.settings.callers()), this.settings.capacity());
 	}
 
 	TcpPeerSettings connections() {
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/Registration.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/node/Registration.java
@@ -14,7 +14,7 @@
  *
  * <p>
  * The write is retried until it succeeds, each time against the version that the store
- * has; a lost answer costs one more read. Confined to the loop's thread, except for
+ * has; a lost answer costs one more read. Confined to the scheduler's thread, except for
  * {@link #afterPreviousStart}, which blocks and must be called from another thread.
  */
 final class Registration {
@@ -78,8 +78,8 @@
 
 	void register() {
 		DaemonRecord record = new DaemonRecord(this.settings.vm().value(), this.settings.dataCentre().value(),
-				GatewaySettings.text(this.settings.peers()), GatewaySettings.text(this.settings.callers()), false,
-				this.start, this.settings.capacity());
+				GatewaySettings.formatAddress(this.settings.peers()),
+				GatewaySettings.formatAddress(this.settings.callers()), false, this.start, this.settings.capacity());
 		this.daemons.register(record, this.version).whenComplete((written, failure) -> {
 			if (failure == null) {
 				this.version = written;
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/SendGate.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/SendGate.java
@@ -15,8 +15,8 @@
  * endpoints before.
  *
  * <p>
- * Invariants: a trial is claimed before each sending that is one; after {@link #close}
- * nothing is called. Confined to the scheduler's thread.
+ * Invariants: a trial is claimed before each sending that counts as one; after
+ * {@link #close} nothing is called. Confined to the scheduler's thread.
  */
 final class SendGate {
 
--- a/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/StartupQueue.java
+++ b/bramleyscale/src/main/java/org/bramleyscale/internal/gateway/request/StartupQueue.java
@@ -31,7 +31,9 @@
 	 */
 	static final Duration MAX_HOLD = Duration.ofMillis(500);
 
-	/** The polling interval; short prompts have 300 ms in total. */
+	/**
+	 * The interval between checks; short prompts have a total latency budget of 300 ms.
+	 */
 	private static final Duration POLL_INTERVAL = Duration.ofMillis(10);
 
 	private final Scheduler scheduler;
@@ -98,7 +100,7 @@
 
 		private final CallerReply reply;
 
-		private final long takenAt = StartupQueue.this.scheduler.nanos();
+		private final long arrivedAt = StartupQueue.this.scheduler.nanos();
 
 		private boolean disconnected;
 
@@ -112,7 +114,7 @@
 
 		private void pass() {
 			if (!this.disconnected) {
-				Duration waited = Duration.ofNanos(StartupQueue.this.scheduler.nanos() - this.takenAt);
+				Duration waited = Duration.ofNanos(StartupQueue.this.scheduler.nanos() - this.arrivedAt);
 				this.onDisconnect = StartupQueue.this.next.handle(this.request.afterWaiting(waited), this.reply);
 			}
 		}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FollowFaultsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FollowFaultsTests.java
@@ -67,16 +67,17 @@
 		switch (random.nextInt(4)) {
 			case 0 -> daemon.queueDelay(Duration.ofMillis(random.nextInt(8_000)));
 			case 1 -> daemon.queueDelay(Duration.ZERO);
-			case 2 -> store(daemon, random.nextBoolean() ? SimulatedStore.Link.REFUSED : SimulatedStore.Link.SILENT);
-			default -> this.fleet.daemons().forEach((other) -> store(other, SimulatedStore.Link.WORKS));
+			case 2 -> setOutcome(daemon,
+					random.nextBoolean() ? SimulatedStore.CallOutcome.REFUSED : SimulatedStore.CallOutcome.SILENT);
+			default -> this.fleet.daemons().forEach((other) -> setOutcome(other, SimulatedStore.CallOutcome.WORKS));
 		}
 	}
 
-	private void store(SimulatedFleet.Daemon daemon, SimulatedStore.Link link) {
-		if (daemon.store().link() != link) {
-			daemon.store().link(link);
+	private void setOutcome(SimulatedFleet.Daemon daemon, SimulatedStore.CallOutcome outcome) {
+		if (daemon.store().outcome() != outcome) {
+			daemon.store().outcome(outcome);
 			this.worksSince.put(daemon.rank(),
-					(link == SimulatedStore.Link.WORKS) ? this.scheduler.nanos() : Long.MAX_VALUE);
+					(outcome == SimulatedStore.CallOutcome.WORKS) ? this.scheduler.nanos() : Long.MAX_VALUE);
 		}
 	}
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FollowFleetTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/FollowFleetTests.java
@@ -75,7 +75,9 @@
 		// Symptom: each change takes a second for as long as the watchers are refused.
 		// Sequence: the store refuses both watchers; two changes follow. Cause: a daemon
 		// that only checks periodically is late each time.
-		this.fleet.daemons().subList(0, 2).forEach((daemon) -> daemon.store().link(SimulatedStore.Link.REFUSED));
+		this.fleet.daemons()
+			.subList(0, 2)
+			.forEach((daemon) -> daemon.store().outcome(SimulatedStore.CallOutcome.REFUSED));
 		this.fleet.store().change("second");
 		this.scheduler.advance(WITHIN);
 		this.fleet.store().change("third");
@@ -95,7 +97,7 @@
 		this.fleet.store().change("second");
 		this.scheduler.advance(WITHIN);
 		for (SimulatedFleet.Daemon daemon : this.fleet.daemons()) {
-			if (daemon.store().link() == SimulatedStore.Link.WORKS || daemon.connectedToPeers()) {
+			if (daemon.store().outcome() == SimulatedStore.CallOutcome.WORKS || daemon.connectedToPeers()) {
 				Truth.assertWithMessage("rank " + daemon.rank()).that(daemon.knows("second")).isTrue();
 			}
 		}
@@ -126,17 +128,17 @@
 
 	@ParameterizedTest
 	@CsvSource({ "REFUSED, 260", "SILENT, 110" })
-	void unavailableStoreGetsFewCallsAndIsReadByAllSoonAfterItReturns(SimulatedStore.Link link, int most) {
+	void unavailableStoreGetsFewCallsAndIsReadByAllSoonAfterItReturns(SimulatedStore.CallOutcome outcome, int most) {
 		// Symptom: hundreds of calls a second to an unavailable store. Sequence: no
 		// daemon gets an answer of the store for ten seconds; the store returns with a
 		// change. Cause: every daemon retries until it gets an answer.
 		int before = this.fleet.store().calls();
-		this.fleet.daemons().forEach((daemon) -> daemon.store().link(link));
+		this.fleet.daemons().forEach((daemon) -> daemon.store().outcome(outcome));
 		this.fleet.store().silenceWatches();
 		this.scheduler.advance(Duration.ofSeconds(10));
 		Truth.assertThat(this.fleet.store().calls() - before).isAtMost(most);
 		this.fleet.store().change("second");
-		this.fleet.daemons().forEach((daemon) -> daemon.store().link(SimulatedStore.Link.WORKS));
+		this.fleet.daemons().forEach((daemon) -> daemon.store().outcome(SimulatedStore.CallOutcome.WORKS));
 		this.scheduler.advance(WITHIN);
 		this.fleet.daemons().forEach((daemon) -> Truth.assertThat(daemon.knows("second")).isTrue());
 	}
@@ -147,11 +149,11 @@
 	 */
 	@ParameterizedTest
 	@CsvSource({ "REFUSED, 0", "SILENT, 0", "REFUSED, 2", "SILENT, 7" })
-	void storeThatRefusesOneDaemonHasNoOutage(SimulatedStore.Link link, int rank) {
+	void storeThatRefusesOneDaemonHasNoOutage(SimulatedStore.CallOutcome outcome, int rank) {
 		SimulatedFleet.Daemon refused = this.fleet.daemons().get(rank);
-		refused.store().link(link);
+		refused.store().outcome(outcome);
 		this.scheduler.advance(Duration.ofSeconds(8));
-		refused.store().link(SimulatedStore.Link.WORKS);
+		refused.store().outcome(SimulatedStore.CallOutcome.WORKS);
 		this.scheduler.advance(Duration.ofSeconds(1));
 		this.fleet.store().change("second");
 		this.scheduler.advance(Duration.ofMillis(500));
@@ -165,11 +167,11 @@
 	 */
 	@ParameterizedTest
 	@CsvSource({ "REFUSED, 4000", "SILENT, 4000", "REFUSED, 13000", "SILENT, 13000" })
-	void allDaemonsKnowOfTheOutageWhenTheyReceiveTheChange(SimulatedStore.Link link, long millis) {
-		this.fleet.daemons().forEach((daemon) -> daemon.store().link(link));
+	void allDaemonsKnowOfTheOutageWhenTheyReceiveTheChange(SimulatedStore.CallOutcome outcome, long millis) {
+		this.fleet.daemons().forEach((daemon) -> daemon.store().outcome(outcome));
 		this.scheduler.advance(Duration.ofMillis(millis));
 		this.fleet.store().change("second");
-		this.fleet.daemons().forEach((daemon) -> daemon.store().link(SimulatedStore.Link.WORKS));
+		this.fleet.daemons().forEach((daemon) -> daemon.store().outcome(SimulatedStore.CallOutcome.WORKS));
 		this.scheduler.advance(Duration.ofMillis(2_500));
 		this.fleet.daemons().forEach((daemon) -> {
 			Truth.assertThat(daemon.knows("second")).isTrue();
@@ -208,14 +210,14 @@
 		WATCHERS_REFUSED {
 			@Override
 			void inject(List<SimulatedFleet.Daemon> fleet) {
-				fleet.subList(0, 2).forEach((daemon) -> daemon.store().link(SimulatedStore.Link.REFUSED));
+				fleet.subList(0, 2).forEach((daemon) -> daemon.store().outcome(SimulatedStore.CallOutcome.REFUSED));
 			}
 		},
 
 		WATCHERS_UNANSWERED {
 			@Override
 			void inject(List<SimulatedFleet.Daemon> fleet) {
-				fleet.subList(0, 2).forEach((daemon) -> daemon.store().link(SimulatedStore.Link.SILENT));
+				fleet.subList(0, 2).forEach((daemon) -> daemon.store().outcome(SimulatedStore.CallOutcome.SILENT));
 			}
 		},
 
@@ -229,7 +231,8 @@
 		HALF_OF_FLEET_REFUSED {
 			@Override
 			void inject(List<SimulatedFleet.Daemon> fleet) {
-				fleet.subList(0, DAEMONS / 2).forEach((daemon) -> daemon.store().link(SimulatedStore.Link.REFUSED));
+				fleet.subList(0, DAEMONS / 2)
+					.forEach((daemon) -> daemon.store().outcome(SimulatedStore.CallOutcome.REFUSED));
 			}
 		},
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/OutageFaultsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/OutageFaultsTests.java
@@ -54,8 +54,9 @@
 		boolean large = random.nextBoolean();
 		Duration within = Duration.ofSeconds(large ? 3 : 2);
 		start(random, large, within);
-		SimulatedStore.Link failure = random.nextBoolean() ? SimulatedStore.Link.SILENT : SimulatedStore.Link.REFUSED;
-		this.fleet.daemons().forEach((daemon) -> daemon.store().link(failure));
+		SimulatedStore.CallOutcome failure = random.nextBoolean() ? SimulatedStore.CallOutcome.SILENT
+				: SimulatedStore.CallOutcome.REFUSED;
+		this.fleet.daemons().forEach((daemon) -> daemon.store().outcome(failure));
 		this.scheduler.advance(Duration.ofMillis(3_000 + random.nextInt(12_000)));
 		restoreStore(random);
 		long contactDueAt = this.scheduler.nanos() + within.plus(CONTACT_MARGIN).toNanos();
@@ -106,7 +107,7 @@
 				this.excluded.add(daemon);
 			}
 			else {
-				daemon.store().link(SimulatedStore.Link.WORKS);
+				daemon.store().outcome(SimulatedStore.CallOutcome.WORKS);
 			}
 		}
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/QueuedUpdatesTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/QueuedUpdatesTests.java
@@ -16,8 +16,9 @@
  *
  * <p>
  * Two relays of one data centre watch the store; two relays of another forward their
- * updates to the daemons there, which are connected to their relays and to some of each
- * other. The store answers all daemons. A change must be in force within {@link #WITHIN}.
+ * updates to the daemons there, which are connected to their relays and to some of the
+ * others. The store answers all daemons. A change must be in force within
+ * {@link #WITHIN}.
  */
 class QueuedUpdatesTests {
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/QueueingDelaysTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/QueueingDelaysTests.java
@@ -34,7 +34,7 @@
 	private final List<Boolean> transitions = new ArrayList<>();
 
 	private final QueueingDelays delays = new QueueingDelays(SELF, this.scheduler,
-			(from, queue, waitedMillis) -> this.transitions.add(queue));
+			(from, queueing, waitedMillis) -> this.transitions.add(queueing));
 
 	private long ahead = 1_000_000;
 
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/RelayedTopology.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/RelayedTopology.java
@@ -6,7 +6,7 @@
 /**
  * A large fleet in two data centres. Ranks 0 and 1 are the relays of the watchers' data
  * centre, 2 and 3 those of the other one, which has all other daemons; these are
- * connected to their relays and to four of each other.
+ * connected to their relays and to four of the others.
  *
  * <p>
  * Immutable.
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedFleet.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedFleet.java
@@ -259,7 +259,7 @@
 		/** Cuts the daemon off from its peers and the store, without an error. */
 		void isolate() {
 			disconnectPeers();
-			this.store.link(SimulatedStore.Link.SILENT);
+			this.store.outcome(SimulatedStore.CallOutcome.SILENT);
 		}
 
 		/**
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedStore.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SimulatedStore.java
@@ -25,7 +25,7 @@
 	/** The kind of all objects. */
 	static final String KIND = "servers";
 
-	/** The time-out of a call beyond the time that it asks the store to wait. */
+	/** The timeout of a call beyond the time that it asks the store to wait. */
 	private static final Duration CALL_OVERRUN = Duration.ofMillis(1_200);
 
 	private static final Duration REFUSAL = Duration.ofMillis(4);
@@ -84,7 +84,7 @@
 	/**
 	 * The outcome of a daemon's calls to the store.
 	 */
-	enum Link {
+	enum CallOutcome {
 
 		WORKS, REFUSED, SILENT
 
@@ -97,7 +97,7 @@
 
 		private final Scheduler process;
 
-		private Link link = Link.WORKS;
+		private CallOutcome outcome = CallOutcome.WORKS;
 
 		private long answeredAt = Long.MIN_VALUE;
 
@@ -121,16 +121,16 @@
 			return this.answeredAt;
 		}
 
-		Link link() {
-			return this.link;
+		CallOutcome outcome() {
+			return this.outcome;
 		}
 
 		/**
 		 * Changes the outcome of calls, including the pending one.
-		 * @param newLink the new outcome
+		 * @param newOutcome the new outcome
 		 */
-		void link(Link newLink) {
-			this.link = newLink;
+		void outcome(CallOutcome newOutcome) {
+			this.outcome = newOutcome;
 			SimulatedStore.this.pendingWatches.stream()
 				.filter((call) -> call.call == this.watch)
 				.forEach((call) -> call.silent = true);
@@ -143,7 +143,7 @@
 		@Override
 		public CompletableFuture<WatchBatch> list(String kind) {
 			count();
-			if (this.link != Link.WORKS) {
+			if (this.outcome != CallOutcome.WORKS) {
 				return deliver(unanswered(Duration.ZERO));
 			}
 			return deliver(CompletableFuture.completedFuture(new WatchBatch(SimulatedStore.this.revision, false,
@@ -153,7 +153,7 @@
 		@Override
 		public CompletableFuture<WatchBatch> watch(String kind, long after, Duration wait) {
 			count();
-			this.watch = (this.link == Link.WORKS) ? answered(after, wait) : unanswered(wait);
+			this.watch = (this.outcome == CallOutcome.WORKS) ? answered(after, wait) : unanswered(wait);
 			return deliver(this.watch);
 		}
 
@@ -171,7 +171,7 @@
 		}
 
 		private CompletableFuture<WatchBatch> unanswered(Duration wait) {
-			return failing((this.link == Link.REFUSED) ? REFUSAL : wait.plus(CALL_OVERRUN));
+			return failing((this.outcome == CallOutcome.REFUSED) ? REFUSAL : wait.plus(CALL_OVERRUN));
 		}
 
 		private CompletableFuture<WatchBatch> deliver(CompletableFuture<WatchBatch> call) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/StoreRecoveryTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/StoreRecoveryTests.java
@@ -29,17 +29,17 @@
 	@ParameterizedTest
 	@CsvSource({ "2, 9, SILENT, 13000", "2, 9, REFUSED, 13000", "2, 20, SILENT, 4300", "3, 74, SILENT, 13000",
 			"3, 74, REFUSED, 13000", "3, 74, SILENT, 7100", "3, 30, REFUSED, 2900" })
-	void eachDaemonDetectsAChangeByItselfSoonAfterAnOutage(int withinSeconds, int daemons, SimulatedStore.Link failure,
-			long outageMillis) {
+	void eachDaemonDetectsAChangeByItselfSoonAfterAnOutage(int withinSeconds, int daemons,
+			SimulatedStore.CallOutcome failure, long outageMillis) {
 		Duration within = Duration.ofSeconds(withinSeconds);
 		SimulatedFleet fleet = new SimulatedFleet(this.scheduler, within);
 		fleet.store().change("first");
 		fleet.start(daemons);
 		this.scheduler.advance(Duration.ofSeconds(10));
-		fleet.daemons().forEach((daemon) -> daemon.store().link(failure));
+		fleet.daemons().forEach((daemon) -> daemon.store().outcome(failure));
 		this.scheduler.advance(Duration.ofMillis(outageMillis));
 		fleet.daemons().forEach((daemon) -> {
-			daemon.store().link(SimulatedStore.Link.WORKS);
+			daemon.store().outcome(SimulatedStore.CallOutcome.WORKS);
 			daemon.queueDelay(Duration.ofSeconds(20));
 		});
 		this.scheduler.advance(CONTACT_MARGIN);
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/EntryListTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/node/EntryListTests.java
@@ -70,7 +70,7 @@
 			"100, true, true, true, a:80 b:80 c:80", "100, false, true, true, b:80 c:80", "100, true, false, true, ''",
 			"100, false, false, true, ''", "100, true, false, false, a:80", "1000, true, false, true, a:80",
 			"1000, false, true, true, b:80 c:80" })
-	void daemonThatHasJustStartedDoesNotAttractCallers(long millis, boolean configured, boolean discovered,
+	void daemonThatHasJustStartedDoesNotReturnItselfTooEarly(long millis, boolean configured, boolean discovered,
 			boolean listed, String expected) {
 		// Symptom: callers wait for seconds at small VMs although large ones are
 		// available again. Sequence: all power is lost; a small VM's daemon starts last;
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayedRequestTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/RelayedRequestTests.java
@@ -58,7 +58,7 @@
 	 */
 	@ParameterizedTest
 	@CsvSource({ "421, true, 0", "503, true, 0", "200, false, 1", "500, false, 1" })
-	void onlyTheEndpointsOwnResponseCountsAsSignOfLife(int status, boolean notRun, int responses) {
+	void onlyTheEndpointsOwnResponseCountsAsItsAnswer(int status, boolean notRun, int responses) {
 		this.fixture.call("/book/1");
 		this.fixture.last().respond(status, notRun, "");
 		Truth.assertThat(this.fixture.crashGuard.answeredEndpoints).hasSize(responses);
@@ -175,9 +175,8 @@
 	@Test
 	void resumedStreamHasTheRestOfItsTimeout() {
 		// Guards against aborting a started stream while engines are free: an engine
-		// crashes 3 s after the request arrived, and the caller timeout for the first
-		// event
-		// is applied to the rest of the stream.
+		// crashes 3 s after the request arrived, and the caller timeout
+		// for the first event is applied to the rest of the stream.
 		this.fixture.call("/stream/1");
 		Truth.assertThat(this.fixture.lastPlacementRequest.timeLeft()).isEqualTo(Duration.ofSeconds(2));
 		for (int i = 1; i <= 6; i++) {
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/StartupQueueTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/request/StartupQueueTests.java
@@ -18,7 +18,7 @@
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
-	private final List<String> taken = new ArrayList<>();
+	private final List<String> handled = new ArrayList<>();
 
 	private final List<String> disconnected = new ArrayList<>();
 
@@ -30,28 +30,28 @@
 
 	@ParameterizedTest
 	@CsvSource({ "20, 100, 110", "20, 495, 500", "400, 450, 460", "20, 10000, 500" })
-	void requestsBeforeReadinessAreHeldAndNotRefused(long askedAt, long readyAt, long takenBy) {
+	void requestsBeforeReadinessAreHeldAndNotRefused(long arrivedAt, long readyAt, long handledBy) {
 		// Guards against refusing requests that could be served a moment later: after a
 		// loss of all power a daemon listens, a request arrives, and 0.1 s later the
 		// daemon knows the endpoints. A refused caller retries half a second later, which
 		// is its last try.
 		this.scheduler.schedule(Duration.ofMillis(readyAt), () -> this.ready = true);
-		this.scheduler.advance(Duration.ofMillis(askedAt));
+		this.scheduler.advance(Duration.ofMillis(arrivedAt));
 		this.queue.handle(request("first"), null);
 		this.queue.handle(request("second"), null);
-		this.scheduler.advance(Duration.ofMillis(Math.min(readyAt, 500) - askedAt - 1));
-		Truth.assertThat(this.taken).isEmpty();
-		this.scheduler.advance(Duration.ofMillis(takenBy - Math.min(readyAt, 500) + 2));
-		Truth.assertThat(this.taken).containsExactly("first", "second").inOrder();
-		this.left.forEach(
-				(left) -> Truth.assertThat(left).isAtMost(Duration.ofMillis(1_000 + askedAt - Math.min(readyAt, 500))));
+		this.scheduler.advance(Duration.ofMillis(Math.min(readyAt, 500) - arrivedAt - 1));
+		Truth.assertThat(this.handled).isEmpty();
+		this.scheduler.advance(Duration.ofMillis(handledBy - Math.min(readyAt, 500) + 2));
+		Truth.assertThat(this.handled).containsExactly("first", "second").inOrder();
+		this.left.forEach((left) -> Truth.assertThat(left)
+			.isAtMost(Duration.ofMillis(1_000 + arrivedAt - Math.min(readyAt, 500))));
 	}
 
 	@Test
 	void requestsAfterTheMaximumHoldAreNotHeld() {
 		this.scheduler.advance(StartupQueue.MAX_HOLD);
 		this.queue.handle(request("late"), null);
-		Truth.assertThat(this.taken).containsExactly("late");
+		Truth.assertThat(this.handled).containsExactly("late");
 	}
 
 	@Test
@@ -60,7 +60,7 @@
 		Runnable stays = this.queue.handle(request("stays"), null);
 		this.ready = true;
 		this.scheduler.advance(Duration.ofMillis(20));
-		Truth.assertThat(this.taken).containsExactly("stays");
+		Truth.assertThat(this.handled).containsExactly("stays");
 		stays.run();
 		Truth.assertThat(this.disconnected).containsExactly("stays");
 	}
@@ -71,7 +71,7 @@
 	}
 
 	private Runnable handle(CallerRequest request, CallerReply reply) {
-		this.taken.add(request.id());
+		this.handled.add(request.id());
 		request.timeLeft().ifPresent(this.left::add);
 		return () -> this.disconnected.add(request.id());
 	}
