--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/OutageFaultsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/OutageFaultsTests.java
@@ -32,7 +32,7 @@
 	private static final Duration STEP = Duration.ofMillis(20);
 
 	/** By how much daemons are suspended longer than a change may take, at the most. */
-	private static final Duration FROZEN = Duration.ofMillis(600);
+	private static final Duration MAX_EXTRA_FREEZE = Duration.ofMillis(600);
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
@@ -128,7 +128,7 @@
 		}
 		int count = 1 + random.nextInt(3);
 		chosen.subList(0, count).forEach((daemon) -> {
-			daemon.freeze(Duration.ofMillis(random.nextInt((int) within.plus(FROZEN).toMillis())));
+			daemon.freeze(Duration.ofMillis(random.nextInt((int) within.plus(MAX_EXTRA_FREEZE).toMillis())));
 			this.excluded.add(daemon);
 		});
 	}
--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SlowLinkTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/SlowLinkTests.java
@@ -44,7 +44,7 @@
 	private static final long CONGESTED_BYTES = 16 * 1024;
 
 	/** The time within which a version must be in force on all daemons. */
-	private static final Duration IN_FORCE = Duration.ofSeconds(3);
+	private static final Duration WITHIN = Duration.ofSeconds(3);
 
 	private static final String KIND = "config";
 
@@ -80,13 +80,13 @@
 			this.relay.copies.push(KIND, version - 1, Duration.ofDays(1), true);
 			this.scheduler.advance(Duration.ofMillis(pause));
 		}
-		this.scheduler.advance(IN_FORCE);
+		this.scheduler.advance(WITHIN);
 		this.daemons.values().forEach((daemon) -> {
 			for (int version = 1; version <= versions; version++) {
 				Long inForce = daemon.inForceAt.ceilingEntry((long) version).getValue();
 				Truth.assertWithMessage(daemon.self + " version " + version)
 					.that(Duration.ofNanos(inForce - readAt.get(version - 1)))
-					.isLessThan(IN_FORCE);
+					.isLessThan(WITHIN);
 			}
 		});
 	}
