--- a/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/OutageFaultsTests.java
+++ b/bramleyscale/src/test/java/org/bramleyscale/internal/gateway/follow/OutageFaultsTests.java
@@ -32,7 +32,7 @@
 	private static final Duration STEP = Duration.ofMillis(20);
 
 	/** By how much daemons are suspended longer than a change may take, at the most. */
-	private static final Duration FROZEN = Duration.ofMillis(600);
+	private static final Duration MAX_EXTRA_FREEZE = Duration.ofMillis(600);
 
 	private final ManualScheduler scheduler = new ManualScheduler();
 
@@ -54,8 +54,9 @@
 		boolean large = random.nextBoolean();
 		Duration within = Duration.ofSeconds(large ? 3 : 2);
 		start(random, large, within);
-		SimulatedStore.Link failure = random.nextBoolean() ? SimulatedStore.Link.SILENT : SimulatedStore.Link.REFUSED;
-		this.fleet.daemons().forEach((daemon) -> daemon.store().link(failure));
+		SimulatedStore.CallOutcome failure = random.nextBoolean() ? SimulatedStore.CallOutcome.SILENT
+				: SimulatedStore.CallOutcome.REFUSED;
+		this.fleet.daemons().forEach((daemon) -> daemon.store().outcome(failure));
 		this.scheduler.advance(Duration.ofMillis(3_000 + random.nextInt(12_000)));
 		restoreStore(random);
 		long contactDueAt = this.scheduler.nanos() + within.plus(CONTACT_MARGIN).toNanos();
@@ -106,7 +107,7 @@
 				this.excluded.add(daemon);
 			}
 			else {
-				daemon.store().link(SimulatedStore.Link.WORKS);
+				daemon.store().outcome(SimulatedStore.CallOutcome.WORKS);
 			}
 		}
 	}
@@ -127,7 +128,7 @@
 		}
 		int count = 1 + random.nextInt(3);
 		chosen.subList(0, count).forEach((daemon) -> {
-			daemon.freeze(Duration.ofMillis(random.nextInt((int) within.plus(FROZEN).toMillis())));
+			daemon.freeze(Duration.ofMillis(random.nextInt((int) within.plus(MAX_EXTRA_FREEZE).toMillis())));
 			this.excluded.add(daemon);
 		});
 	}
